--- a/src/main/java/damsonseam/Decide.java
+++ b/src/main/java/damsonseam/Decide.java
@@ -32,9 +32,11 @@
     private static final double ROOM_OF_AIM = 0.5;
     /** The first onset lies at least and at most at these shares of the room: levels must stay apart. */
     private static final double ONSET_LEAST = 0.2;
+
     private static final double ONSET_MOST = 0.5;
     /** Weight of the newest delay in the estimate, and in the slow figures of what is ordinary. */
     private static final double FAST = 0.5;
+
     private static final double SLOW = 0.05;
     /** Slowest fallback, as a share of the ordinary one. */
     private static final double FALLBACK_LEAST = 0.4;
@@ -64,6 +66,7 @@
     private static final double LIST_AGAIN = 1_000.0;
     /** Longest turn at a squeezed server in fair turns; what a quick answer leaves of it; when it ends. */
     private static final double MOST_SQUEEZE = 8.0;
+
     private static final double RELAX = 0.6;
     private static final double FREE = 0.5;
     /** Span in which a change of turns takes effect: calls sent before it must first be answered. */
@@ -72,6 +75,7 @@
     private static final double SQUEEZE_SPAN = 15_000.0;
     /** Reported busy share above which a server has nothing left to give: the noise of reports below all. */
     private static final double BUSY = 0.9;
+
     private static final long SWEEP_TOKEN = 1;
     private static final long LIST_TOKEN = 2;
 
@@ -96,30 +100,34 @@
     private final Map<Long, Held> calls = new LinkedHashMap<>();
     /** The order in which held calls are tried: highest worth first, within a rank the newest first. */
     private static final Comparator<Held> ORDER = Comparator.comparingInt((Held c) -> -c.rank)
-            .thenComparingDouble(c -> -c.arrived).thenComparingLong(c -> c.id);
+            .thenComparingDouble(c -> -c.arrived)
+            .thenComparingLong(c -> c.id);
     /** Held calls that fare alike, so that a moment tries one of each and walks none it does not try. */
     private final Map<Object, Group> groups = new LinkedHashMap<>();
     /** Calls to be held, not yet ranked: those that came since the last moment. */
     private final Set<Held> fresh = new LinkedHashSet<>();
     /** Held calls by when their rank falls, those that have their full worth and those that are late. */
-    private final TreeSet<Held> early = new TreeSet<>(Comparator.comparingDouble((Held c) -> c.aimBy)
-            .thenComparingLong(c -> c.id));
+    private final TreeSet<Held> early =
+            new TreeSet<>(Comparator.comparingDouble((Held c) -> c.aimBy).thenComparingLong(c -> c.id));
+
     private final TreeSet<Held> late = new TreeSet<>(early.comparator());
-    private final TreeSet<Held> byDeadline = new TreeSet<>(Comparator.comparingDouble((Held c) -> c.deadline)
-            .thenComparingLong(c -> c.id));
-    private final TreeSet<Held> byRelease = new TreeSet<>(Comparator.comparingDouble((Held c) -> c.notBefore)
-            .thenComparingLong(c -> c.id));
+    private final TreeSet<Held> byDeadline =
+            new TreeSet<>(Comparator.comparingDouble((Held c) -> c.deadline).thenComparingLong(c -> c.id));
+    private final TreeSet<Held> byRelease =
+            new TreeSet<>(Comparator.comparingDouble((Held c) -> c.notBefore).thenComparingLong(c -> c.id));
     /** The servers that calls of one class and choice may use; forgotten with each news of the list. */
     private final Map<Object, List<Core>> usable = new HashMap<>();
     /** Whether the last choice passed over a server that would take the call, but not in its time. */
     private boolean missedByTime;
     /** Numbers whose lines are all busy, and numbers of callers left without service, who dial again. */
     private final Recent busyNumbers = new Recent();
+
     private final Recent unserved = new Recent();
     /** Set-ups found lost, and those sent to a process that has restarted since. */
     private final Set<Long> lost = new TreeSet<>();
     /** The longest time that a call of each class was seen to have left. */
     private final double[] usualTime;
+
     private double beatAt = Double.POSITIVE_INFINITY;
     private double seenAt = Double.NEGATIVE_INFINITY;
     private double pause;
@@ -132,6 +140,7 @@
     private double bestWay = Double.POSITIVE_INFINITY;
     /** Worked out once each moment: the least time to an answer, and what the sizes of all come to. */
     private double lead;
+
     private double allSizes;
     private double fill;
 
@@ -150,7 +159,7 @@
     }
 
     /** What makes held calls fare alike, but for those that may not be sent yet. */
-    private record Kind(int callClass, int rank, boolean moved, List<Integer> mayUse) { }
+    private record Kind(int callClass, int rank, boolean moved, List<Integer> mayUse) {}
 
     /** Held calls of one kind that avoid one server, or are bound for one: ripe ones and waiting. */
     private static final class Group {
@@ -330,7 +339,10 @@
         // A front that stood still is handed its calls late: their time left is short of the usual by that.
         usualTime[call.callClass()] = Math.max(usualTime[call.callClass()], call.timeLeft());
         double age = Math.min(pause, usualTime[call.callClass()] - call.timeLeft());
-        Held held = new Held(call, now, now + call.timeLeft() - margin,
+        Held held = new Held(
+                call,
+                now,
+                now + call.timeLeft() - margin,
                 call.redialled() || unserved.has(call.number(), now) ? now : now + aim(c) - age);
         calls.put(held.id, held);
         fresh.add(held);
@@ -376,8 +388,10 @@
             // Release awaited: what the attempt held may stay taken until the guard time has passed.
             held.notBefore = now + guard;
         }
-        boolean hopeless = e.reason() == Reason.NUMBER_BUSY || held.attempts >= maxAttempts
-                || Math.max(now, held.notBefore) >= held.deadline || held.inTransit;
+        boolean hopeless = e.reason() == Reason.NUMBER_BUSY
+                || held.attempts >= maxAttempts
+                || Math.max(now, held.notBefore) >= held.deadline
+                || held.inTransit;
         if (hopeless) {
             calls.remove(held.id);
             unserved(held);
@@ -398,8 +412,7 @@
     }
 
     @Override
-    public void probed(double now, String server, boolean asked, boolean answered, double delay,
-            Report report) {
+    public void probed(double now, String server, boolean asked, boolean answered, double delay, Report report) {
         paused(now);
         Core s = servers.get(server);
         if (s == null) {
@@ -414,7 +427,7 @@
     }
 
     @Override
-    public void message(double now, int from, byte[] body) { } // Nothing is believed from other fronts.
+    public void message(double now, int from, byte[] body) {} // Nothing is believed from other fronts.
 
     @Override
     public void timer(double now, long token) {
@@ -472,7 +485,8 @@
 
     /** Age of the oldest unanswered set-up above the way there: a lower bound of the wait. */
     private double silence(Core s, double now) {
-        double oldest = s.unanswered.isEmpty() ? now : s.unanswered.values().iterator().next();
+        double oldest =
+                s.unanswered.isEmpty() ? now : s.unanswered.values().iterator().next();
         return Math.max(0, now - asleep - oldest - way(s));
     }
 
@@ -525,8 +539,7 @@
             s.tokens = random.nextDouble();
             s.tokensAt = now;
         }
-        s.squeeze = Math.min(MOST_SQUEEZE,
-                Math.max(1, s.squeeze) * Math.pow(1 + Math.min(1, wait / room), gain(s)));
+        s.squeeze = Math.min(MOST_SQUEEZE, Math.max(1, s.squeeze) * Math.pow(1 + Math.min(1, wait / room), gain(s)));
     }
 
     /** Many answers in a short time are one piece of news: turns change as fast as they can take effect. */
@@ -543,7 +556,7 @@
             return;
         }
         double before = sentAt - way(s);
-        for (Iterator<Map.Entry<Long, Double>> it = s.unanswered.entrySet().iterator(); it.hasNext();) {
+        for (Iterator<Map.Entry<Long, Double>> it = s.unanswered.entrySet().iterator(); it.hasNext(); ) {
             Map.Entry<Long, Double> earlier = it.next();
             if (earlier.getValue() >= before) {
                 return;
@@ -650,7 +663,7 @@
                     badEnding(s, now);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -705,8 +718,11 @@
             return true;
         }
         // Only silence stops it: one or two more test whether the silent set-up was merely lost.
-        return s.squeeze <= 1 && !s.unanswered.isEmpty() && s.unanswered.size() <= SILENCE_TESTS
-                && fallen(s, now) < onset(s, 0) && now - s.sentAt > way(s) + onset(s, 0);
+        return s.squeeze <= 1
+                && !s.unanswered.isEmpty()
+                && s.unanswered.size() <= SILENCE_TESTS
+                && fallen(s, now) < onset(s, 0)
+                && now - s.sentAt > way(s) + onset(s, 0);
     }
 
     /** A call's rank: the place of the worth that it can still earn; after its aim that is its late worth. */
@@ -750,7 +766,8 @@
     private void place(Held held, double now) {
         Kind kind = new Kind(held.callClass, held.rank, held.moved, held.mayUse);
         String avoid = held.avoid == null ? "" : held.avoid.id;
-        held.group = groups.computeIfAbsent(List.of(kind, avoid, held.inTransit ? held.firstChoice : -1),
+        held.group = groups.computeIfAbsent(
+                List.of(kind, avoid, held.inTransit ? held.firstChoice : -1),
                 k -> new Group(kind, held.avoid == null && !held.inTransit));
         if (now >= held.notBefore) {
             held.group.ripe.add(held);
@@ -781,8 +798,9 @@
     // ---- Choice -----------------------------------------------------------------------------------------
 
     private List<Core> usable(Held held) {
-        return held.inTransit ? findUsable(held) : usable.computeIfAbsent(
-                List.of(held.callClass, held.mayUse), k -> findUsable(held));
+        return held.inTransit
+                ? findUsable(held)
+                : usable.computeIfAbsent(List.of(held.callClass, held.mayUse), k -> findUsable(held));
     }
 
     private List<Core> findUsable(Held held) {
@@ -790,9 +808,11 @@
         int own = settings.ownNumber().orElse(-1);
         List<Core> list = new ArrayList<>();
         for (Core s : servers.values()) {
-            boolean may = held.inTransit ? s.number == held.firstChoice
-                    : (own < 0 || s.number != own) && (allowed.isEmpty() || allowed.contains(s.number))
-                    && (held.mayUse.isEmpty() || held.mayUse.contains(s.number));
+            boolean may = held.inTransit
+                    ? s.number == held.firstChoice
+                    : (own < 0 || s.number != own)
+                            && (allowed.isEmpty() || allowed.contains(s.number))
+                            && (held.mayUse.isEmpty() || held.mayUse.contains(s.number));
             if (may && s.state == State.RUNNING) {
                 list.add(s);
             }
@@ -918,8 +938,9 @@
 
     /** A caller who got no service dials again, marked or not, and is late by then. */
     private void unserved(Held held) {
-        unserved.putIfAbsent(held.number, held.arrived
-                + settings.classes().get(held.callClass).deadline().orElse(UNSET_AIM));
+        unserved.putIfAbsent(
+                held.number,
+                held.arrived + settings.classes().get(held.callClass).deadline().orElse(UNSET_AIM));
     }
 
     /** Redials are spread, or they come back in step. */
@@ -946,7 +967,8 @@
             held.group.waiting.remove(held);
         }
         groups.values().removeIf(g -> g.ripe.isEmpty() && g.waiting.isEmpty());
-        List<Group> unmoved = groups.values().stream().filter(g -> !g.kind.moved).toList();
+        List<Group> unmoved =
+                groups.values().stream().filter(g -> !g.kind.moved).toList();
         for (Group g : groups.values()) {
             start(next, new Cursor(g, g.ripe));
             if (!g.waiting.isEmpty() && !worthHolding(g.waiting.first(), usable(g.waiting.first()), now)) {
@@ -1075,7 +1097,8 @@
             return true;
         }
         s.squeeze -= Math.max(0, s.squeeze - 1) * (1 - Math.exp((s.tokensAt - now) / SQUEEZE_SPAN));
-        double share = warmth < 1 ? warmth * BUDGET_SHARE * settings.tipMultiple().orElse(1) : 1;
+        double share =
+                warmth < 1 ? warmth * BUDGET_SHARE * settings.tipMultiple().orElse(1) : 1;
         double rate = Math.min(share, s.squeeze > 0 ? 1 / s.squeeze : share) / turn(s);
         s.tokens = Math.min(1, Math.max(-1, s.tokens) + rate * (now - s.tokensAt));
         s.tokensAt = now;
--- a/src/main/java/damsonseam/Front.java
+++ b/src/main/java/damsonseam/Front.java
@@ -47,53 +47,119 @@
     void settled(double now);
 
     /** Whether a server takes work. */
-    enum State { RUNNING, DRAINING, GONE }
+    enum State {
+        RUNNING,
+        DRAINING,
+        GONE
+    }
 
     /** How an attempt ended. */
-    enum Result { COMPLETED, ERROR, FULL, TIMED_OUT, UNREACHABLE, RESET, CANCELLED, NOT_SENT }
+    enum Result {
+        COMPLETED,
+        ERROR,
+        FULL,
+        TIMED_OUT,
+        UNREACHABLE,
+        RESET,
+        CANCELLED,
+        NOT_SENT
+    }
 
     /** Why a call was turned away, where the ending says so. */
-    enum Reason { NONE, NO_LINE, BEYOND_FULL, PROCESSOR_FULL, NUMBER_BUSY }
+    enum Reason {
+        NONE,
+        NO_LINE,
+        BEYOND_FULL,
+        PROCESSOR_FULL,
+        NUMBER_BUSY
+    }
 
     /** One server of the list. {@code number} is what a call's {@code firstChoice} refers to. */
-    record ServerEntry(String id, int number, OptionalDouble startedAt, State state) { }
+    record ServerEntry(String id, int number, OptionalDouble startedAt, State state) {}
 
     /**
      * A call handed to this front. {@code timeLeft} runs until the caller gives this try up; {@code servers}
      * holds the numbers that it may use, empty when any of its class will do.
      */
-    record Call(long id, String number, int callClass, int firstChoice, double timeLeft, boolean redialled,
-            boolean inTransit, List<Integer> servers) {
+    record Call(
+            long id,
+            String number,
+            int callClass,
+            int firstChoice,
+            double timeLeft,
+            boolean redialled,
+            boolean inTransit,
+            List<Integer> servers) {
         /** A call that may use any server of its class. */
-        public Call(long id, String number, int callClass, int firstChoice, double timeLeft,
-                boolean redialled, boolean inTransit) {
+        public Call(
+                long id,
+                String number,
+                int callClass,
+                int firstChoice,
+                double timeLeft,
+                boolean redialled,
+                boolean inTransit) {
             this(id, number, callClass, firstChoice, timeLeft, redialled, inTransit, List.of());
         }
     }
 
     /** The end of an attempt. With {@code last} the call is over, else the front still owes its answer. */
-    record Ending(long call, String server, int attempt, double delay, Result result, Reason reason,
-            OptionalDouble toldWait, boolean last, Report report) { }
+    record Ending(
+            long call,
+            String server,
+            int attempt,
+            double delay,
+            Result result,
+            Reason reason,
+            OptionalDouble toldWait,
+            boolean last,
+            Report report) {}
 
     /** A server's figures of itself, late and inexact; what is not reported is empty. */
-    record Report(OptionalDouble freeLines, OptionalDouble lines, OptionalDouble processorWait,
-            OptionalDouble busy, OptionalDouble waiting) {
+    record Report(
+            OptionalDouble freeLines,
+            OptionalDouble lines,
+            OptionalDouble processorWait,
+            OptionalDouble busy,
+            OptionalDouble waiting) {
         /** A report that says nothing. */
-        public static final Report NONE = new Report(OptionalDouble.empty(), OptionalDouble.empty(),
-                OptionalDouble.empty(), OptionalDouble.empty(), OptionalDouble.empty());
+        public static final Report NONE = new Report(
+                OptionalDouble.empty(),
+                OptionalDouble.empty(),
+                OptionalDouble.empty(),
+                OptionalDouble.empty(),
+                OptionalDouble.empty());
     }
 
     /** A class of call. {@code servers} holds the numbers it may use; empty when any will do. */
-    record CallClass(OptionalDouble aim, OptionalDouble deadline, OptionalDouble worth,
-            OptionalDouble lateShare, Optional<List<Integer>> servers) { }
+    record CallClass(
+            OptionalDouble aim,
+            OptionalDouble deadline,
+            OptionalDouble worth,
+            OptionalDouble lateShare,
+            Optional<List<Integer>> servers) {}
 
     /** What is known when the front starts. */
-    record Settings(long seed, OptionalInt fronts, List<CallClass> classes, OptionalInt ownNumber,
-            OptionalInt maxAttempts, Optional<Boolean> mayCancel, Optional<Boolean> mayProbe,
-            Optional<Boolean> mayMessage, Optional<Boolean> listOnRequest, OptionalDouble tick,
-            OptionalDouble answerSlack, OptionalDouble drainGrace, OptionalDouble coldFrom,
-            OptionalDouble warmWithin, OptionalDouble tipMultiple, OptionalDouble tipWindow,
-            OptionalDouble releaseGuard, OptionalDouble resendAfter, OptionalDouble maxReturnAdvice) { }
+    record Settings(
+            long seed,
+            OptionalInt fronts,
+            List<CallClass> classes,
+            OptionalInt ownNumber,
+            OptionalInt maxAttempts,
+            Optional<Boolean> mayCancel,
+            Optional<Boolean> mayProbe,
+            Optional<Boolean> mayMessage,
+            Optional<Boolean> listOnRequest,
+            OptionalDouble tick,
+            OptionalDouble answerSlack,
+            OptionalDouble drainGrace,
+            OptionalDouble coldFrom,
+            OptionalDouble warmWithin,
+            OptionalDouble tipMultiple,
+            OptionalDouble tipWindow,
+            OptionalDouble releaseGuard,
+            OptionalDouble resendAfter,
+            OptionalDouble maxReturnAdvice) {}
 
     /** What the module asks of its front. */
     interface Actions {
--- a/src/main/java/damsonseam/adapter/Main.java
+++ b/src/main/java/damsonseam/adapter/Main.java
@@ -10,7 +10,7 @@
 /** Command line of the adapter: batches of events on standard input, replies on standard output. */
 public final class Main {
 
-    private Main() { }
+    private Main() {}
 
     /** Runs the command line; exits with 0 at end of input, 1 on malformed input, 2 on wrong usage. */
     public static void main(String[] args) {
@@ -18,10 +18,8 @@
             System.err.println("usage: java -jar damsonseam.jar adapter");
             System.exit(2);
         }
-        BufferedReader in = new BufferedReader(
-                new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
-        BufferedWriter out = new BufferedWriter(
-                new OutputStreamWriter(System.out, StandardCharsets.UTF_8), 1 << 16);
+        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
+        BufferedWriter out = new BufferedWriter(new OutputStreamWriter(System.out, StandardCharsets.UTF_8), 1 << 16);
         try {
             new Wire(in, out).run();
         } catch (WireException | IOException e) {
--- a/src/main/java/damsonseam/adapter/Reply.java
+++ b/src/main/java/damsonseam/adapter/Reply.java
@@ -18,13 +18,24 @@
 
     @Override
     public void send(long call, String server, double abandonAt) {
-        action("issue").append(' ').append(call).append(' ').append(server).append(' ')
-                .append(time(abandonAt)).append('\n');
+        action("issue")
+                .append(' ')
+                .append(call)
+                .append(' ')
+                .append(server)
+                .append(' ')
+                .append(time(abandonAt))
+                .append('\n');
     }
 
     @Override
     public void refuse(long call, double returnAfter) {
-        action("overload_reply").append(' ').append(call).append(' ').append(time(returnAfter)).append('\n');
+        action("overload_reply")
+                .append(' ')
+                .append(call)
+                .append(' ')
+                .append(time(returnAfter))
+                .append('\n');
     }
 
     @Override
@@ -34,12 +45,22 @@
 
     @Override
     public void cancel(long call, int attempt) {
-        action("stop_attempt").append(' ').append(call).append(' ').append(attempt).append('\n');
+        action("stop_attempt")
+                .append(' ')
+                .append(call)
+                .append(' ')
+                .append(attempt)
+                .append('\n');
     }
 
     @Override
     public void timer(double after, long token) {
-        action("defer").append(' ').append(time(after)).append(' ').append(token).append('\n');
+        action("defer")
+                .append(' ')
+                .append(time(after))
+                .append(' ')
+                .append(token)
+                .append('\n');
     }
 
     @Override
--- a/src/main/java/damsonseam/adapter/Wire.java
+++ b/src/main/java/damsonseam/adapter/Wire.java
@@ -30,7 +30,7 @@
     private static final int NOTE_BITS = 16;
     private static final int NOTE_BEYOND_FULL = 18;
 
-    private record Instance(Front front, ReportFields reportFields) { }
+    private record Instance(Front front, ReportFields reportFields) {}
 
     private final BufferedReader in;
     private final Writer out;
@@ -38,6 +38,7 @@
     private final Map<Integer, List<ServerEntry>> lists = new HashMap<>();
     /** The instances that had an event in this batch, in the order of their first. */
     private final Set<Integer> touched = new LinkedHashSet<>();
+
     private final StringBuilder reply = new StringBuilder();
     private long lineNumber;
     private double now = Double.NEGATIVE_INFINITY;
@@ -82,8 +83,7 @@
     private Line must(String expected) throws IOException {
         Line line = next();
         if (line == null) {
-            throw new WireException(
-                    "line " + lineNumber + ": expected " + expected + ", found the end of input");
+            throw new WireException("line " + lineNumber + ": expected " + expected + ", found the end of input");
         }
         return line;
     }
@@ -183,12 +183,13 @@
         int cell = (int) line.optional("the pool number").orElse(-1);
         line.optional("the zone");
         line.optional("the scale");
-        State state = switch (line.word("the health")) {
-            case "on" -> State.RUNNING;
-            case "fading" -> State.DRAINING;
-            case "off" -> State.GONE;
-            default -> throw line.wrong("on, fading or off");
-        };
+        State state =
+                switch (line.word("the health")) {
+                    case "on" -> State.RUNNING;
+                    case "fading" -> State.DRAINING;
+                    case "off" -> State.GONE;
+                    default -> throw line.wrong("on, fading or off");
+                };
         line.end();
         boolean longAgo = launched.isEmpty() || launched.getAsDouble() == 0;
         return new ServerEntry(server, cell, longAgo ? OptionalDouble.empty() : launched, state);
@@ -228,8 +229,16 @@
         int bits = line.small("the marks");
         OptionalDouble dest = line.optional("the destination");
         line.end();
-        front.offered(now, new Call(id, key, callClass, (int) dest.orElse(-1), timeLeft,
-                (bits & REDIALLED) != 0, (bits & IN_TRANSIT) != 0));
+        front.offered(
+                now,
+                new Call(
+                        id,
+                        key,
+                        callClass,
+                        (int) dest.orElse(-1),
+                        timeLeft,
+                        (bits & REDIALLED) != 0,
+                        (bits & IN_TRANSIT) != 0));
     }
 
     private void result(Line line) {
@@ -243,13 +252,14 @@
         Result how = how(line);
         Report report = report(instance, line);
         boolean beyond = code == NOTE_BEYOND_FULL;
-        Reason reason = switch (beyond ? 2 : code % NOTE_BITS) {
-            case 1 -> Reason.NO_LINE;
-            case 2 -> Reason.BEYOND_FULL;
-            case 3 -> Reason.PROCESSOR_FULL;
-            case 4 -> Reason.NUMBER_BUSY;
-            default -> Reason.NONE;
-        };
+        Reason reason =
+                switch (beyond ? 2 : code % NOTE_BITS) {
+                    case 1 -> Reason.NO_LINE;
+                    case 2 -> Reason.BEYOND_FULL;
+                    case 3 -> Reason.PROCESSOR_FULL;
+                    case 4 -> Reason.NUMBER_BUSY;
+                    default -> Reason.NONE;
+                };
         int wait = beyond ? 0 : code / NOTE_BITS;
         OptionalDouble told = wait > 0 ? OptionalDouble.of(wait) : OptionalDouble.empty();
         instance.front().ended(now, new Ending(id, server, attempt, delay, how, reason, told, last, report));
--- a/src/main/java/damsonseam/audit/AuditReport.java
+++ b/src/main/java/damsonseam/audit/AuditReport.java
@@ -22,6 +22,17 @@
  *     then are left out
  * @param leastGuardLeftMs least time beyond the guard between a bad end and the next set-up
  */
-public record AuditReport(long calls, long notTaken, long overtaken, long resolved, long stood, long refused,
-        long failed, long setUps, long violations, Map<Integer, Long> perRule, List<Finding> findings,
-        double leastAnswerLeftMs, double leastGuardLeftMs) { }
+public record AuditReport(
+        long calls,
+        long notTaken,
+        long overtaken,
+        long resolved,
+        long stood,
+        long refused,
+        long failed,
+        long setUps,
+        long violations,
+        Map<Integer, Long> perRule,
+        List<Finding> findings,
+        double leastAnswerLeftMs,
+        double leastGuardLeftMs) {}
--- a/src/main/java/damsonseam/audit/Finding.java
+++ b/src/main/java/damsonseam/audit/Finding.java
@@ -8,4 +8,4 @@
  * @param front the front that broke it, or all for rule 4
  * @param what in words, with the call's number or the server
  */
-public record Finding(int rule, long timeUs, String front, String what) { }
+public record Finding(int rule, long timeUs, String front, String what) {}
--- a/src/main/java/damsonseam/bench/DrainBench.java
+++ b/src/main/java/damsonseam/bench/DrainBench.java
@@ -28,16 +28,33 @@
     private static final int FRONTS = 4;
     private static final long PAUSE_MS = 300;
 
-    private DrainBench() { }
+    private DrainBench() {}
 
     /** Runs so many drains at 800 calls a second over four fronts and four calculators. */
     public static Map<String, Object> run(int drains) throws Exception {
-        CalculatorSettings each = new CalculatorSettings(2_000.0, null, null, null, null, null, null, null, null, null,
+        CalculatorSettings each =
+                new CalculatorSettings(2_000.0, null, null, null, null, null, null, null, null, null, null);
+        Scenario.Kind kind = new Scenario.Kind(
+                "simulacion",
+                "59821",
+                1.0,
+                Span.of("1.5 s"),
+                Span.of("9 s"),
+                Span.of("3 s"),
+                1.0,
+                0.25,
+                Span.of("100 ms"),
+                0);
+        Scenario scenario = new Scenario(
+                "drain",
+                null,
+                1L,
+                FRONTS,
+                new Scenario.Calculators(4, each),
+                new Scenario.Load(800.0, List.of(kind)),
+                new Scenario.Directory(Span.ms(0), null),
+                null,
                 null);
-        Scenario.Kind kind = new Scenario.Kind("simulacion", "59821", 1.0, Span.of("1.5 s"), Span.of("9 s"),
-                Span.of("3 s"), 1.0, 0.25, Span.of("100 ms"), 0);
-        Scenario scenario = new Scenario("drain", null, 1L, FRONTS, new Scenario.Calculators(4, each),
-                new Scenario.Load(800.0, List.of(kind)), new Scenario.Directory(Span.ms(0), null), null, null);
         Path folder = Files.createTempDirectory("drain");
         List<FrontServer> fronts = new ArrayList<>();
         try (Surroundings around = new Surroundings(scenario, folder)) {
--- a/src/main/java/damsonseam/bench/FrontProcess.java
+++ b/src/main/java/damsonseam/bench/FrontProcess.java
@@ -45,9 +45,15 @@
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(options);
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), FrontProcess.class.getName(),
-                config.toString(), admission.name()));
-        process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.DISCARD).start();
+        command.addAll(List.of(
+                "-cp",
+                System.getProperty("java.class.path"),
+                FrontProcess.class.getName(),
+                config.toString(),
+                admission.name()));
+        process = new ProcessBuilder(command)
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start();
         from = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
         to = new BufferedWriter(new OutputStreamWriter(process.getOutputStream(), StandardCharsets.UTF_8));
         address = new InetSocketAddress("127.0.0.1", answer().get("port").asInt());
@@ -103,8 +109,8 @@
         FrontSettings settings = Yaml.read(Path.of(args[0]), FrontSettings.class);
         Baseline baseline = Baseline.valueOf(args[1].toUpperCase(Locale.ROOT));
         FrontServer.Parts own = FrontServer.Parts.own(settings);
-        try (FrontServer front = FrontServer.start(settings,
-                new FrontServer.Parts(own.module(), () -> baseline.admission(settings)), false)) {
+        try (FrontServer front = FrontServer.start(
+                settings, new FrontServer.Parts(own.module(), () -> baseline.admission(settings)), false)) {
             if (!front.awaitReady(READY_MS)) {
                 throw new IOException("the front was not ready");
             }
--- a/src/main/java/damsonseam/bench/PathBench.java
+++ b/src/main/java/damsonseam/bench/PathBench.java
@@ -25,16 +25,33 @@
     private static final int ROUNDS = 3;
     private static final int KNOWN_NUMBERS = 5_000;
 
-    private PathBench() { }
+    private PathBench() {}
 
     /** Runs it; each round of each side takes {@code seconds}. */
     public static Map<String, Object> run(double seconds) throws Exception {
-        CalculatorSettings fast = new CalculatorSettings(200_000.0, null, null, null, null, 60_000, null, null, null,
-                null, null);
-        Scenario.Kind kind = new Scenario.Kind("simulacion", "59821", 1.0, Span.of("1.5 s"), Span.of("9 s"),
-                Span.of("3 s"), 1.0, 0.25, Span.of("20 ms"), 0);
-        Scenario scenario = new Scenario("path", null, 1L, 1, new Scenario.Calculators(8, fast),
-                new Scenario.Load(1.0, List.of(kind)), null, null, null);
+        CalculatorSettings fast =
+                new CalculatorSettings(200_000.0, null, null, null, null, 60_000, null, null, null, null, null);
+        Scenario.Kind kind = new Scenario.Kind(
+                "simulacion",
+                "59821",
+                1.0,
+                Span.of("1.5 s"),
+                Span.of("9 s"),
+                Span.of("3 s"),
+                1.0,
+                0.25,
+                Span.of("20 ms"),
+                0);
+        Scenario scenario = new Scenario(
+                "path",
+                null,
+                1L,
+                1,
+                new Scenario.Calculators(8, fast),
+                new Scenario.Load(1.0, List.of(kind)),
+                null,
+                null,
+                null);
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         LongFunction<String> numbers = n -> String.format("59821%02d%07d", n % 8, n % KNOWN_NUMBERS);
         try (Surroundings around = new Surroundings(scenario, null);
--- a/src/main/java/damsonseam/cli/AuditCommand.java
+++ b/src/main/java/damsonseam/cli/AuditCommand.java
@@ -10,8 +10,10 @@
 import picocli.CommandLine.Parameters;
 
 /** Checks the five rules in the folder of a run. */
-@Command(name = "audit", mixinStandardHelpOptions = true, description = {
-    "Checks the five rules from the wire logs that a run left. Exit 1 where one was broken."})
+@Command(
+        name = "audit",
+        mixinStandardHelpOptions = true,
+        description = {"Checks the five rules from the wire logs that a run left. Exit 1 where one was broken."})
 final class AuditCommand implements Callable<Integer> {
     @Parameters(paramLabel = "DIR", description = "The folder of a run.")
     private Path folder;
@@ -19,8 +21,8 @@
     @Override
     public Integer call() throws Exception {
         AuditReport report = AuditFolder.audit(folder);
-        System.out.println(new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT)
-                .writeValueAsString(report));
+        System.out.println(
+                new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(report));
         return report.violations() == 0 ? Commands.FINE : Commands.FAILED;
     }
 }
--- a/src/main/java/damsonseam/cli/BadDayCommand.java
+++ b/src/main/java/damsonseam/cli/BadDayCommand.java
@@ -21,12 +21,18 @@
 import picocli.CommandLine.Option;
 
 /** Plays a scripted bad day through real fronts and audits the wire. */
-@Command(name = "bad-day", mixinStandardHelpOptions = true, description = {
-    "Plays a scripted day through real fronts on loopback, with troubles, and checks the five rules from what",
-    "passed the sockets. Leaves report.json, world.json and wire/*.jsonl. Exit 1 where a rule was broken."})
+@Command(
+        name = "bad-day",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Plays a scripted day through real fronts on loopback, with troubles, and checks the five rules from what",
+            "passed the sockets. Leaves report.json, world.json and wire/*.jsonl. Exit 1 where a rule was broken."
+        })
 final class BadDayCommand implements Callable<Integer> {
-    @Option(names = "--scenario", paramLabel = "FILE", description = "The day; by default the one that comes "
-            + "with the program.")
+    @Option(
+            names = "--scenario",
+            paramLabel = "FILE",
+            description = "The day; by default the one that comes " + "with the program.")
     private Path file;
 
     @Option(names = "--fronts", paramLabel = "N", description = "Fronts, in place of the scenario's.")
@@ -38,13 +44,19 @@
     @Option(names = "--seed", paramLabel = "N", description = "Seed, in place of the scenario's.")
     private Long seed;
 
-    @Option(names = "--decider", defaultValue = "MODULE", description = "MODULE, or RANDOM as a baseline "
-            + "(default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--decider",
+            defaultValue = "MODULE",
+            description = "MODULE, or RANDOM as a baseline " + "(default: ${DEFAULT-VALUE}).")
     private Day.Decider decider;
 
-    @Option(names = "--runs", defaultValue = "1", paramLabel = "N", description = "Days to play: the first as given, "
-            + "the others with other seeds, sizes and troubles, drawn from the hardest so far. Stops at the first "
-            + "broken rule and tells its call's story (default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--runs",
+            defaultValue = "1",
+            paramLabel = "N",
+            description = "Days to play: the first as given, "
+                    + "the others with other seeds, sizes and troubles, drawn from the hardest so far. "
+                    + "Stops at the first broken rule and tells its call's story (default: ${DEFAULT-VALUE}).")
     private int runs;
 
     @Option(names = "--out", required = true, paramLabel = "DIR", description = "Where the run is left.")
@@ -56,10 +68,16 @@
         Ranges.check("--seconds", seconds, 1, 86_400);
         Ranges.check("--runs", runs, 1, 100_000);
         Scenario given = file == null ? standard() : Yaml.read(file, Scenario.class);
-        Scenario scenario = new Scenario(given.name(),
-                seconds == null ? given.length() : Span.ms(seconds * 1_000), seed == null ? given.seed() : seed,
-                fronts == null ? given.fronts() : fronts, given.calculators(), given.load(), given.directory(),
-                given.cycle(), given.troubles());
+        Scenario scenario = new Scenario(
+                given.name(),
+                seconds == null ? given.length() : Span.ms(seconds * 1_000),
+                seed == null ? given.seed() : seed,
+                fronts == null ? given.fronts() : fronts,
+                given.calculators(),
+                given.load(),
+                given.directory(),
+                given.cycle(),
+                given.troubles());
         if (runs == 1) {
             return play(scenario, out).audit().violations() == 0 ? Commands.FINE : Commands.FAILED;
         }
@@ -73,8 +91,10 @@
                 Map<String, Object> found = new LinkedHashMap<>();
                 found.put("broken", result.audit().findings().get(0));
                 found.put("day", day);
-                found.put("story", CallStory.of(folder, result.audit().findings().get(0)));
-                System.out.println(new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT)
+                found.put(
+                        "story", CallStory.of(folder, result.audit().findings().get(0)));
+                System.out.println(new ObjectMapper()
+                        .enable(SerializationFeature.INDENT_OUTPUT)
                         .writeValueAsString(found));
                 return Commands.FAILED;
             }
@@ -137,8 +157,7 @@
             if (in == null) {
                 throw new IOException("the standard day is not in the program");
             }
-            return Yaml.parse("bad-day.yaml", new String(in.readAllBytes(), StandardCharsets.UTF_8),
-                    Scenario.class);
+            return Yaml.parse("bad-day.yaml", new String(in.readAllBytes(), StandardCharsets.UTF_8), Scenario.class);
         }
     }
 }
--- a/src/main/java/damsonseam/cli/Commands.java
+++ b/src/main/java/damsonseam/cli/Commands.java
@@ -13,12 +13,25 @@
 import picocli.CommandLine.ScopeType;
 
 /** The command line as a whole: its commands, the options that all share, and what each exit code means. */
-@Command(name = "damsonseam", mixinStandardHelpOptions = true, version = "damsonseam 0.2.0",
+@Command(
+        name = "damsonseam",
+        mixinStandardHelpOptions = true,
+        version = "damsonseam 0.2.0",
         description = "Sets calls up over trunk groups, asked by ENUM over DNS.",
         footer = {"", "Exit codes: 0 fine, 1 failed or a rule broken, 2 wrong usage or bad settings."},
-        subcommands = {FrontCommand.class, StandinCommand.class, DemoCommand.class, LookupCommand.class,
-            BadDayCommand.class, AuditCommand.class, LoadCommand.class, BenchCommand.class,
-            AdapterCommand.class, NodeCommand.class, CommandLine.HelpCommand.class})
+        subcommands = {
+            FrontCommand.class,
+            StandinCommand.class,
+            DemoCommand.class,
+            LookupCommand.class,
+            BadDayCommand.class,
+            AuditCommand.class,
+            LoadCommand.class,
+            BenchCommand.class,
+            AdapterCommand.class,
+            NodeCommand.class,
+            CommandLine.HelpCommand.class
+        })
 public final class Commands implements Runnable {
     /** All went well. */
     static final int FINE = 0;
@@ -30,13 +43,20 @@
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    @Option(names = "--log-file", scope = ScopeType.INHERIT, paramLabel = "FILE",
+    @Option(
+            names = "--log-file",
+            scope = ScopeType.INHERIT,
+            paramLabel = "FILE",
             description = "JSON log goes to this file; by default to standard error.")
     private String logFile;
 
-    @Option(names = "--log-level", scope = ScopeType.INHERIT, paramLabel = "LEVEL", defaultValue = "WARN",
-            description = "TRACE, DEBUG, INFO, WARN, ERROR or OFF; calls are told at INFO (default: "
-                    + "${DEFAULT-VALUE}).")
+    @Option(
+            names = "--log-level",
+            scope = ScopeType.INHERIT,
+            paramLabel = "LEVEL",
+            defaultValue = "WARN",
+            description =
+                    "TRACE, DEBUG, INFO, WARN, ERROR or OFF; calls are told at INFO (default: " + "${DEFAULT-VALUE}).")
     private String logLevel;
 
     @Override
--- a/src/main/java/damsonseam/cli/DemoCommand.java
+++ b/src/main/java/damsonseam/cli/DemoCommand.java
@@ -12,22 +12,35 @@
 import picocli.CommandLine.Option;
 
 /** A front and its stand-ins on loopback, for a first look. */
-@Command(name = "demo", mixinStandardHelpOptions = true, description = {
-    "Runs a front and stand-in calculators, authorities and directory on loopback.",
-    "Prints one JSON line when ready: where to ask (enum), the suffix, and a number that resolves."})
+@Command(
+        name = "demo",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Runs a front and stand-in calculators, authorities and directory on loopback.",
+            "Prints one JSON line when ready: where to ask (enum), the suffix, and a number that resolves."
+        })
 final class DemoCommand implements Callable<Integer> {
     private static final long READY_MS = 10_000;
 
-    @Option(names = "--port", defaultValue = "0", paramLabel = "P", description = "DNS port, 0: the system "
-            + "chooses.")
+    @Option(
+            names = "--port",
+            defaultValue = "0",
+            paramLabel = "P",
+            description = "DNS port, 0: the system " + "chooses.")
     private int port;
 
-    @Option(names = "--seconds", defaultValue = "0", paramLabel = "N", description = "End after so long; 0: "
-            + "run until a signal.")
+    @Option(
+            names = "--seconds",
+            defaultValue = "0",
+            paramLabel = "N",
+            description = "End after so long; 0: " + "run until a signal.")
     private double seconds;
 
-    @Option(names = "--calculators", defaultValue = "3", paramLabel = "N", description = "Stand-in "
-            + "calculators (default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--calculators",
+            defaultValue = "3",
+            paramLabel = "N",
+            description = "Stand-in " + "calculators (default: ${DEFAULT-VALUE}).")
     private int calculators;
 
     @Override
@@ -35,11 +48,10 @@
         Ranges.check("--port", port, 0, 65_535);
         Ranges.check("--seconds", seconds, 0, 1e9);
         Ranges.check("--calculators", calculators, 1, 99);
-        Scenario scenario = new Scenario("demo", null, null, 1, new Scenario.Calculators(calculators, null),
-                null, null, null, null);
+        Scenario scenario = new Scenario(
+                "demo", null, null, 1, new Scenario.Calculators(calculators, null), null, null, null, null);
         try (Surroundings around = new Surroundings(scenario, null);
-                FrontServer front = FrontServer.start(around.frontSettings(0, new Endpoint("127.0.0.1", port)),
-                        true)) {
+                FrontServer front = FrontServer.start(around.frontSettings(0, new Endpoint("127.0.0.1", port)), true)) {
             if (!front.awaitReady(READY_MS)) {
                 System.err.println("damsonseam: the front was not ready within " + READY_MS + " ms");
                 return Commands.FAILED;
@@ -48,10 +60,14 @@
             ready.put("enum", "127.0.0.1:" + front.enumAddress().getPort());
             ready.put("suffix", Surroundings.SUFFIX);
             ready.put("number", around.exampleNumber());
-            ready.put("authorities", around.authorityAddresses().stream().map(Endpoint::toString).toList());
+            ready.put(
+                    "authorities",
+                    around.authorityAddresses().stream().map(Endpoint::toString).toList());
             ready.put("directory", around.directoryAddress().toString());
             Map<String, String> signalling = new LinkedHashMap<>();
-            around.calculators().forEach(c -> signalling.put(c.id(), "127.0.0.1:" + c.address().getPort()));
+            around.calculators()
+                    .forEach(c ->
+                            signalling.put(c.id(), "127.0.0.1:" + c.address().getPort()));
             ready.put("calculators", signalling);
             System.out.println(new ObjectMapper().writeValueAsString(ready));
             System.out.flush();
--- a/src/main/java/damsonseam/cli/FrontCommand.java
+++ b/src/main/java/damsonseam/cli/FrontCommand.java
@@ -12,18 +12,29 @@
 import picocli.CommandLine.Option;
 
 /** Runs one front until a signal ends it; then it takes no new calls and ends the open ones. */
-@Command(name = "front", mixinStandardHelpOptions = true, description = {"Runs one front.",
-    "Prints one JSON line when its DNS port is open. SIGTERM drains: no new calls, open ones are answered."})
+@Command(
+        name = "front",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Runs one front.",
+            "Prints one JSON line when its DNS port is open. SIGTERM drains: no new calls, open ones are answered."
+        })
 final class FrontCommand implements Callable<Integer> {
-    @Option(names = "--config", required = true, paramLabel = "FILE", description = "Settings, see "
-            + "config/front.example.yaml.")
+    @Option(
+            names = "--config",
+            required = true,
+            paramLabel = "FILE",
+            description = "Settings, see " + "config/front.example.yaml.")
     private Path config;
 
     @Option(names = "--check", description = "Only check the settings.")
     private boolean check;
 
-    @Option(names = "--seconds", defaultValue = "0", paramLabel = "N", description = "End after so long; 0: "
-            + "run until a signal.")
+    @Option(
+            names = "--seconds",
+            defaultValue = "0",
+            paramLabel = "N",
+            description = "End after so long; 0: " + "run until a signal.")
     private double seconds;
 
     @Override
@@ -37,7 +48,10 @@
         FrontServer front = FrontServer.start(settings, true);
         Map<String, Object> ready = new LinkedHashMap<>();
         ready.put("front", settings.front().name());
-        ready.put("enum", settings.enumeration().listen().host() + ":" + front.enumAddress().getPort());
+        ready.put(
+                "enum",
+                settings.enumeration().listen().host() + ":"
+                        + front.enumAddress().getPort());
         ready.put("suffix", settings.enumeration().suffix());
         System.out.println(new ObjectMapper().writeValueAsString(ready));
         Until.signalOr(seconds, front::drain);
--- a/src/main/java/damsonseam/cli/LoadCommand.java
+++ b/src/main/java/damsonseam/cli/LoadCommand.java
@@ -23,63 +23,109 @@
 import picocli.CommandLine.Option;
 
 /** Puts a load on running fronts and tells what became of it. */
-@Command(name = "load", mixinStandardHelpOptions = true, description = {
-    "Puts a load on running fronts: open arrivals that wait for nobody, each asked once. Delays are counted from",
-    "when a question was due. Prints one JSON line; with --out also histograms and a picture.",
-    "Fronts on this machine only: HOST must be a loopback address."})
+@Command(
+        name = "load",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Puts a load on running fronts: open arrivals that wait for nobody, each asked once. "
+                    + "Delays are counted from",
+            "when a question was due. Prints one JSON line; with --out also histograms and a picture.",
+            "Fronts on this machine only: HOST must be a loopback address."
+        })
 final class LoadCommand implements Callable<Integer> {
     /** Shapes of a load. */
-    enum Shape { STEADY, BURST, PUBLICATION }
+    enum Shape {
+        STEADY,
+        BURST,
+        PUBLICATION
+    }
 
-    @Option(names = "--to", required = true, split = ",", paramLabel = "HOST:PORT", description = "Fronts, asked in "
-            + "turn.")
+    @Option(
+            names = "--to",
+            required = true,
+            split = ",",
+            paramLabel = "HOST:PORT",
+            description = "Fronts, asked in " + "turn.")
     private List<String> to;
 
-    @Option(names = "--config", paramLabel = "FILE", description = "A front's settings: classes, numbers and suffix "
-            + "are taken from it. By default those of demo.")
+    @Option(
+            names = "--config",
+            paramLabel = "FILE",
+            description =
+                    "A front's settings: classes, numbers and suffix " + "are taken from it. By default those of demo.")
     private Path config;
 
-    @Option(names = "--shares", split = ",", paramLabel = "N", description = "Share of each prefix of the settings, in "
-            + "their order; by default all alike, for demo 94,6.")
+    @Option(
+            names = "--shares",
+            split = ",",
+            paramLabel = "N",
+            description =
+                    "Share of each prefix of the settings, in " + "their order; by default all alike, for demo 94,6.")
     private List<Double> shares;
 
-    @Option(names = "--rate", defaultValue = "100", paramLabel = "N", description = "Calls a second "
-            + "(default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--rate",
+            defaultValue = "100",
+            paramLabel = "N",
+            description = "Calls a second " + "(default: ${DEFAULT-VALUE}).")
     private double rate;
 
-    @Option(names = "--shape", defaultValue = "STEADY", description = "STEADY; BURST: --factor times as much in the "
-            + "middle third; PUBLICATION: a publication day of that peak (default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--shape",
+            defaultValue = "STEADY",
+            description = "STEADY; BURST: --factor times as much in the "
+                    + "middle third; PUBLICATION: a publication day of that peak (default: ${DEFAULT-VALUE}).")
     private Shape shape;
 
-    @Option(names = "--factor", defaultValue = "10", paramLabel = "N", description = "Height of the burst or peak "
-            + "(default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--factor",
+            defaultValue = "10",
+            paramLabel = "N",
+            description = "Height of the burst or peak " + "(default: ${DEFAULT-VALUE}).")
     private double factor;
 
-    @Option(names = "--seconds", defaultValue = "10", paramLabel = "N", description = "Length (default: "
-            + "${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seconds",
+            defaultValue = "10",
+            paramLabel = "N",
+            description = "Length (default: " + "${DEFAULT-VALUE}).")
     private double seconds;
 
     @Option(names = "--seed", defaultValue = "1", paramLabel = "N")
     private long seed;
 
-    @Option(names = "--threads", defaultValue = "2", paramLabel = "N", description = "Threads that send (default: "
-            + "${DEFAULT-VALUE}).")
+    @Option(
+            names = "--threads",
+            defaultValue = "2",
+            paramLabel = "N",
+            description = "Threads that send (default: " + "${DEFAULT-VALUE}).")
     private int threads;
 
-    @Option(names = "--senders", defaultValue = "1", paramLabel = "N", description = "Addresses of 127.0.0.0/8 that "
-            + "questions come from (default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--senders",
+            defaultValue = "1",
+            paramLabel = "N",
+            description = "Addresses of 127.0.0.0/8 that " + "questions come from (default: ${DEFAULT-VALUE}).")
     private int senders;
 
-    @Option(names = "--known", defaultValue = "5000", paramLabel = "N", description = "Numbers of each class called "
-            + "again and again (default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--known",
+            defaultValue = "5000",
+            paramLabel = "N",
+            description = "Numbers of each class called " + "again and again (default: ${DEFAULT-VALUE}).")
     private int known;
 
-    @Option(names = "--first", defaultValue = "1", paramLabel = "N", description = "First-choice calculators that the "
-            + "numbers name (default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--first",
+            defaultValue = "1",
+            paramLabel = "N",
+            description = "First-choice calculators that the " + "numbers name (default: ${DEFAULT-VALUE}).")
     private int first;
 
-    @Option(names = "--find", description = "Finds the rate at which the fronts are saturated, starting at --rate; "
-            + "--seconds is the length of each try.")
+    @Option(
+            names = "--find",
+            description = "Finds the rate at which the fronts are saturated, starting at --rate; "
+                    + "--seconds is the length of each try.")
     private boolean find;
 
     @Option(names = "--out", paramLabel = "DIR", description = "Where histograms (*.hgrm) and load.png are left.")
@@ -122,13 +168,15 @@
             }
             fronts.add(at);
         }
-        Profile profile = switch (shape) {
-            case STEADY -> Profile.steady(rate);
-            case BURST -> Profile.burst(rate, factor, seconds / 3, 2 * seconds / 3);
-            case PUBLICATION -> Profile.publication(rate, factor, seconds);
-        };
+        Profile profile =
+                switch (shape) {
+                    case STEADY -> Profile.steady(rate);
+                    case BURST -> Profile.burst(rate, factor, seconds / 3, 2 * seconds / 3);
+                    case PUBLICATION -> Profile.publication(rate, factor, seconds);
+                };
         String suffix = "e164.example.org";
-        List<LoadPlan.Kind> kinds = List.of(new LoadPlan.Kind("simulacion", "59821", 94, 1_500, 3_000, 1, 0.25),
+        List<LoadPlan.Kind> kinds = List.of(
+                new LoadPlan.Kind("simulacion", "59821", 94, 1_500, 3_000, 1, 0.25),
                 new LoadPlan.Kind("tasacion-firma", "59828", 6, 1_200, 2_200, 8, 0.25));
         if (config != null) {
             FrontSettings settings = Yaml.read(config, FrontSettings.class);
@@ -142,15 +190,23 @@
 
     private List<LoadPlan.Kind> kinds(FrontSettings settings) throws Exception {
         if (shares != null && shares.size() != settings.numbers().size()) {
-            throw new damsonseam.config.SettingsException("--shares: expected " + settings.numbers().size()
-                    + " of them, as many as the settings have prefixes");
+            throw new damsonseam.config.SettingsException("--shares: expected "
+                    + settings.numbers().size() + " of them, as many as the settings have prefixes");
         }
         List<LoadPlan.Kind> kinds = new ArrayList<>();
         for (FrontSettings.NumberRange range : settings.numbers()) {
-            FrontSettings.ClassOfCall of = settings.classes().stream().filter(c -> c.name().equals(range.of()))
-                    .findFirst().orElseThrow();
-            kinds.add(new LoadPlan.Kind(of.name(), range.prefix(), shares == null ? 1 : shares.get(kinds.size()),
-                    of.aim().ms(), range.patience().ms(), of.worth(), of.lateShare()));
+            FrontSettings.ClassOfCall of = settings.classes().stream()
+                    .filter(c -> c.name().equals(range.of()))
+                    .findFirst()
+                    .orElseThrow();
+            kinds.add(new LoadPlan.Kind(
+                    of.name(),
+                    range.prefix(),
+                    shares == null ? 1 : shares.get(kinds.size()),
+                    of.aim().ms(),
+                    range.patience().ms(),
+                    of.worth(),
+                    of.lateShare()));
         }
         return kinds;
     }
--- a/src/main/java/damsonseam/cli/Logging.java
+++ b/src/main/java/damsonseam/cli/Logging.java
@@ -20,7 +20,7 @@
     private static final int QUEUE = 1 << 16;
     private static final int FLUSH_MS = 2_000;
 
-    private Logging() { }
+    private Logging() {}
 
     static void configure(String file, Level level) {
         // gRPC speaks through java.util.logging: it goes the same way as all else.
--- a/src/main/java/damsonseam/cli/LookupCommand.java
+++ b/src/main/java/damsonseam/cli/LookupCommand.java
@@ -15,8 +15,8 @@
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetSocketAddress;
-import java.net.Socket;
 import java.net.PortUnreachableException;
+import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.security.SecureRandom;
 import java.util.Arrays;
@@ -42,26 +42,40 @@
 import picocli.CommandLine.TypeConversionException;
 
 /** Asks a front, or an authority, for a number as a branch desk would. */
-@Command(name = "lookup", mixinStandardHelpOptions = true, description = {
-    "Asks an ENUM server for a number and prints the answer as one JSON line.",
-    "At a front that question is a call: what it sets up stands until it is released.",
-    "Exit 0 where the answer leads somewhere, else 1."})
+@Command(
+        name = "lookup",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Asks an ENUM server for a number and prints the answer as one JSON line.",
+            "At a front that question is a call: what it sets up stands until it is released.",
+            "Exit 0 where the answer leads somewhere, else 1."
+        })
 final class LookupCommand implements Callable<Integer> {
     private static final int DATAGRAM = 4096;
 
     @Parameters(paramLabel = "NUMBER", description = "Digits, with or without a leading +.")
     private String number;
 
-    @Option(names = "--server", required = true, paramLabel = "HOST:PORT", converter = EndpointConverter.class,
+    @Option(
+            names = "--server",
+            required = true,
+            paramLabel = "HOST:PORT",
+            converter = EndpointConverter.class,
             description = "Whom to ask.")
     private Endpoint server;
 
-    @Option(names = "--suffix", defaultValue = "e164.example.org", paramLabel = "DOMAIN", description = "Domain "
-            + "of the numbers (default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--suffix",
+            defaultValue = "e164.example.org",
+            paramLabel = "DOMAIN",
+            description = "Domain " + "of the numbers (default: ${DEFAULT-VALUE}).")
     private String suffix;
 
-    @Option(names = "--timeout", defaultValue = "3", paramLabel = "SECONDS", description = "How long to wait "
-            + "(default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--timeout",
+            defaultValue = "3",
+            paramLabel = "SECONDS",
+            description = "How long to wait " + "(default: ${DEFAULT-VALUE}).")
     private double timeout;
 
     @Option(names = "--tcp", description = "Ask over TCP.")
@@ -84,15 +98,20 @@
         Ranges.check("--timeout", timeout, 0.01, 3_600);
         Message query = new Message(new SecureRandom().nextInt(1 << 16));
         try {
-            Name name = E164Name.of(number.startsWith("+") ? number.substring(1) : number,
-                    E164Name.suffix(suffix));
+            Name name = E164Name.of(number.startsWith("+") ? number.substring(1) : number, E164Name.suffix(suffix));
             query.addRecord(Record.newRecord(name, Type.NAPTR, DClass.IN), Section.QUESTION);
         } catch (IllegalArgumentException e) {
             System.err.println("damsonseam: " + e.getMessage());
             return Commands.USAGE;
         }
-        query.addRecord(new OPTRecord(DnsCodec.SAFE_UDP, 0, 0, 0,
-                List.of(new CallHints(false, Math.round(timeout * 1_000)).option())), Section.ADDITIONAL);
+        query.addRecord(
+                new OPTRecord(
+                        DnsCodec.SAFE_UDP,
+                        0,
+                        0,
+                        0,
+                        List.of(new CallHints(false, Math.round(timeout * 1_000)).option())),
+                Section.ADDITIONAL);
         Map<String, Object> result = new LinkedHashMap<>();
         result.put("number", number);
         try {
@@ -152,7 +171,9 @@
 
     private int print(Map<String, Object> result, Message answer) throws IOException {
         List<NAPTRRecord> rules = answer.getSection(Section.ANSWER).stream()
-                .filter(r -> r instanceof NAPTRRecord).map(r -> (NAPTRRecord) r).toList();
+                .filter(r -> r instanceof NAPTRRecord)
+                .map(r -> (NAPTRRecord) r)
+                .toList();
         result.put("rcode", Rcode.string(answer.getRcode()));
         boolean found = answer.getRcode() == Rcode.NOERROR && !rules.isEmpty();
         String kind = found ? "stands" : "failed";
--- a/src/main/java/damsonseam/cli/Main.java
+++ b/src/main/java/damsonseam/cli/Main.java
@@ -3,7 +3,7 @@
 /** Entry of the program. The adapter and the front node are told apart first: neither loads what it can't use. */
 public final class Main {
 
-    private Main() { }
+    private Main() {}
 
     /** Runs the command line; see {@code damsonseam --help}. */
     public static void main(String[] args) throws Exception {
--- a/src/main/java/damsonseam/cli/NodeCommand.java
+++ b/src/main/java/damsonseam/cli/NodeCommand.java
@@ -16,11 +16,17 @@
 import sun.misc.Signal;
 
 /** Stands in the help; {@link Main} runs the node without the command line's library, which costs its start. */
-@Command(name = "node", mixinStandardHelpOptions = true, description = {"Runs one front node of the platform.",
-    "Reads the JSON file that NODE_CONFIG names. SIGHUP reads it again; SIGTERM finishes what is open and ends."})
+@Command(
+        name = "node",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Runs one front node of the platform.",
+            "Reads the JSON file that NODE_CONFIG names. SIGHUP reads it again; SIGTERM finishes what is open and ends."
+        })
 final class NodeCommand implements Callable<Integer> {
-    @Option(names = "--rehearse", description = "Play some calls through a node on loopback and end; exits with 1 if "
-            + "one did not stand.")
+    @Option(
+            names = "--rehearse",
+            description = "Play some calls through a node on loopback and end; exits with 1 if " + "one did not stand.")
     private boolean rehearse;
 
     @Override
--- a/src/main/java/damsonseam/cli/Ranges.java
+++ b/src/main/java/damsonseam/cli/Ranges.java
@@ -6,13 +6,13 @@
 /** Checks of what the command line gives, in the words of the settings' errors and before anything is started. */
 final class Ranges {
 
-    private Ranges() { }
+    private Ranges() {}
 
     /** A number within its range; null, not given, is fine. */
     static void check(String option, Number value, double least, double most) throws SettingsException {
         if (value != null && !(value.doubleValue() >= least && value.doubleValue() <= most)) {
-            throw new SettingsException(option + ": expected " + text(least) + " to " + text(most)
-                    + ", found " + value);
+            throw new SettingsException(
+                    option + ": expected " + text(least) + " to " + text(most) + ", found " + value);
         }
     }
 
--- a/src/main/java/damsonseam/cli/StandinCommand.java
+++ b/src/main/java/damsonseam/cli/StandinCommand.java
@@ -23,7 +23,10 @@
 import picocli.CommandLine.Parameters;
 
 /** Single stand-ins, for a front that is started by hand. */
-@Command(name = "standin", mixinStandardHelpOptions = true, description = "Runs one kind of stand-in on loopback.",
+@Command(
+        name = "standin",
+        mixinStandardHelpOptions = true,
+        description = "Runs one kind of stand-in on loopback.",
         subcommands = {StandinCommand.Dns.class, StandinCommand.Calculators.class, StandinCommand.Directory.class})
 final class StandinCommand implements Runnable {
     private static final int FIRST_POINT_CODE = 1_000;
@@ -38,12 +41,18 @@
 
     /** What all kinds share. */
     static final class Shared {
-        @Option(names = "--port", defaultValue = "0", paramLabel = "P", description = "Port, 0: the system "
-                + "chooses; calculators take it and those after it.")
+        @Option(
+                names = "--port",
+                defaultValue = "0",
+                paramLabel = "P",
+                description = "Port, 0: the system " + "chooses; calculators take it and those after it.")
         private int port;
 
-        @Option(names = "--seconds", defaultValue = "0", paramLabel = "N", description = "End after so long; 0: "
-                + "run until a signal.")
+        @Option(
+                names = "--seconds",
+                defaultValue = "0",
+                paramLabel = "N",
+                description = "End after so long; 0: " + "run until a signal.")
         private double seconds;
 
         private InetSocketAddress at(int offset) {
@@ -91,8 +100,11 @@
         @Option(names = "--count", defaultValue = "3", paramLabel = "N")
         private int count;
 
-        @Option(names = "--hold", defaultValue = "8", paramLabel = "SECONDS", description = "Mean length of a "
-                + "call (default: ${DEFAULT-VALUE}).")
+        @Option(
+                names = "--hold",
+                defaultValue = "8",
+                paramLabel = "SECONDS",
+                description = "Mean length of a " + "call (default: ${DEFAULT-VALUE}).")
         private double hold;
 
         @Override
@@ -101,8 +113,14 @@
             List<Calculator> all = new ArrayList<>();
             Map<String, Object> places = new LinkedHashMap<>();
             for (int i = 0; i < count; i++) {
-                Calculator c = new Calculator(String.format("calc-%02d.example.org", i), FIRST_POINT_CODE + i,
-                        CalculatorSettings.defaults(), (EventLoop) group.next(), i, n -> hold * 1_000, n -> { },
+                Calculator c = new Calculator(
+                        String.format("calc-%02d.example.org", i),
+                        FIRST_POINT_CODE + i,
+                        CalculatorSettings.defaults(),
+                        (EventLoop) group.next(),
+                        i,
+                        n -> hold * 1_000,
+                        n -> {},
                         null);
                 c.start(shared.at(i), false);
                 all.add(c);
@@ -122,8 +140,10 @@
         @Mixin
         private Shared shared;
 
-        @Parameters(paramLabel = "ID=HOST:PORT", arity = "1..*", description = "Calculators, numbered from 0, "
-                + "with point codes from 1000 in their order.")
+        @Parameters(
+                paramLabel = "ID=HOST:PORT",
+                arity = "1..*",
+                description = "Calculators, numbered from 0, " + "with point codes from 1000 in their order.")
         private Map<String, String> servers;
 
         @Override
@@ -133,8 +153,9 @@
             int number = 0;
             for (Map.Entry<String, String> server : servers.entrySet()) {
                 String address = Endpoint.of(server.getValue()).toString();
-                directory.setNow(new DirectoryServer.Listed(server.getKey(), number, address,
-                        FIRST_POINT_CODE + number), State.RUNNING);
+                directory.setNow(
+                        new DirectoryServer.Listed(server.getKey(), number, address, FIRST_POINT_CODE + number),
+                        State.RUNNING);
                 number++;
             }
             shared.ready(Map.of("directory", "127.0.0.1:" + at.getPort()), directory::close);
--- a/src/main/java/damsonseam/cli/Until.java
+++ b/src/main/java/damsonseam/cli/Until.java
@@ -11,20 +11,22 @@
         void end() throws Exception;
     }
 
-    private Until() { }
+    private Until() {}
 
     /** Returns after {@code seconds} (0: never by itself) or at a signal, having run {@code end} once. */
     static void signalOr(double seconds, End end) throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
-        Thread hook = new Thread(() -> {
-            asked.countDown();
-            try {
-                done.await(20, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "shutdown");
+        Thread hook = new Thread(
+                () -> {
+                    asked.countDown();
+                    try {
+                        done.await(20, TimeUnit.SECONDS);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                },
+                "shutdown");
         Runtime.getRuntime().addShutdownHook(hook);
         try {
             if (seconds > 0) {
--- a/src/main/java/damsonseam/config/Check.java
+++ b/src/main/java/damsonseam/config/Check.java
@@ -3,7 +3,7 @@
 /** Checks of values, used by the records of settings as they are made. */
 public final class Check {
 
-    private Check() { }
+    private Check() {}
 
     /** The value, or its default where the file gives none. */
     public static <T> T or(T value, T fallback) {
--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -27,9 +27,17 @@
  * @param limits bounds of tables
  * @param overload levels of the front's own overload
  */
-public record FrontSettings(Identity front, @com.fasterxml.jackson.annotation.JsonProperty("enum") Enumeration
-        enumeration, List<ClassOfCall> classes, List<NumberRange> numbers, Upstream upstream,
-        Directory directory, Trunks trunks, Fleet fleet, Limits limits, Overload overload) {
+public record FrontSettings(
+        Identity front,
+        @com.fasterxml.jackson.annotation.JsonProperty("enum") Enumeration enumeration,
+        List<ClassOfCall> classes,
+        List<NumberRange> numbers,
+        Upstream upstream,
+        Directory directory,
+        Trunks trunks,
+        Fleet fleet,
+        Limits limits,
+        Overload overload) {
 
     /** Checks what concerns several parts at once. */
     public FrontSettings {
@@ -44,7 +52,8 @@
         limits = Check.or(limits, new Limits(null, null, null, null, null, null));
         overload = Check.or(overload, new Overload(null, null, null, null, null, null, null, null));
         for (NumberRange range : numbers) {
-            Check.that(classes.stream().anyMatch(c -> c.name().equals(range.of())),
+            Check.that(
+                    classes.stream().anyMatch(c -> c.name().equals(range.of())),
                     "numbers: no class is named " + range.of());
         }
     }
@@ -102,8 +111,12 @@
         }
 
         CallClass forModule() {
-            return new CallClass(OptionalDouble.of(aim.ms()), OptionalDouble.of(deadline.ms()),
-                    OptionalDouble.of(worth), OptionalDouble.of(lateShare), Optional.empty());
+            return new CallClass(
+                    OptionalDouble.of(aim.ms()),
+                    OptionalDouble.of(deadline.ms()),
+                    OptionalDouble.of(worth),
+                    OptionalDouble.of(lateShare),
+                    Optional.empty());
         }
     }
 
@@ -114,13 +127,12 @@
      * @param of the name of the class
      * @param patience how long their callers wait for one try
      */
-    public record NumberRange(String prefix, @com.fasterxml.jackson.annotation.JsonProperty("class") String of,
-            Span patience) {
+    public record NumberRange(
+            String prefix, @com.fasterxml.jackson.annotation.JsonProperty("class") String of, Span patience) {
         /** Checks. */
         public NumberRange {
             Check.need(prefix, "prefix");
-            Check.that(prefix.chars().allMatch(c -> c >= '0' && c <= '9'), "prefix: expected digits, found "
-                    + prefix);
+            Check.that(prefix.chars().allMatch(c -> c >= '0' && c <= '9'), "prefix: expected digits, found " + prefix);
             Check.need(of, "class");
             Check.that(Check.need(patience, "patience").ms() >= 100, "patience: expected 100 ms at least");
         }
@@ -136,8 +148,8 @@
      * @param staleAfter when an old answer is given while authorities are silent
      * @param staleFor how long old answers are kept past their time
      */
-    public record Upstream(List<Endpoint> authorities, String suffix, Integer sockets, Integer tries,
-            Span staleAfter, Span staleFor) {
+    public record Upstream(
+            List<Endpoint> authorities, String suffix, Integer sockets, Integer tries, Span staleAfter, Span staleFor) {
         /** Checks. */
         public Upstream {
             Check.that(authorities != null && !authorities.isEmpty(), "authorities: expected one at least");
@@ -170,8 +182,15 @@
      * @param releaseWait how long the release complete of an attempt given up is awaited before the guard of
      *     {@code fleet.releaseGuard} runs without it; the longest way of a message to a calculator
      */
-    public record Trunks(Integer circuits, Span probeTimeout, Span heartbeat, Span t1, Span t5, Span t17,
-            Span connectTimeout, Span releaseWait) {
+    public record Trunks(
+            Integer circuits,
+            Span probeTimeout,
+            Span heartbeat,
+            Span t1,
+            Span t5,
+            Span t17,
+            Span connectTimeout,
+            Span releaseWait) {
         /** Checks; the timers are Q.764's. */
         public Trunks {
             circuits = Check.within(Check.or(circuits, 512), 1, 4095, "circuits");
@@ -200,8 +219,17 @@
      * @param releaseGuard time after a bad end in which a call is not sent again
      * @param maxReturnAdvice longest time that callers stay away when asked to
      */
-    public record Fleet(Integer fronts, Integer maxAttempts, Boolean probes, Span drainGrace, Double coldFrom,
-            Span warmWithin, Double tipMultiple, Span tipWindow, Span releaseGuard, Span maxReturnAdvice) {
+    public record Fleet(
+            Integer fronts,
+            Integer maxAttempts,
+            Boolean probes,
+            Span drainGrace,
+            Double coldFrom,
+            Span warmWithin,
+            Double tipMultiple,
+            Span tipWindow,
+            Span releaseGuard,
+            Span maxReturnAdvice) {
         /** Checks. */
         public Fleet {
             fronts = Check.within(Check.or(fronts, 1), 1, 1_000_000, "fronts");
@@ -227,8 +255,8 @@
      * @param connections of callers over TCP
      * @param drain time that the end of the program gives open calls
      */
-    public record Limits(Integer calls, Integer questions, Integer numbers, Integer lookups,
-            Integer connections, Span drain) {
+    public record Limits(
+            Integer calls, Integer questions, Integer numbers, Integer lookups, Integer connections, Span drain) {
         /** Checks. */
         public Limits {
             calls = Check.within(Check.or(calls, 100_000), 1, 10_000_000, "calls");
@@ -252,8 +280,15 @@
      * @param fairMultiple fair shares that one sender may ask before what is above them is refused first
      * @param queue calls of each worth that may wait before the loop
      */
-    public record Overload(Span delayOnset, Span delayCeiling, Double memoryOnset, Double memoryCeiling,
-            Double tableOnset, Span forecast, Double fairMultiple, Integer queue) {
+    public record Overload(
+            Span delayOnset,
+            Span delayCeiling,
+            Double memoryOnset,
+            Double memoryCeiling,
+            Double tableOnset,
+            Span forecast,
+            Double fairMultiple,
+            Integer queue) {
         /** Checks and defaults. */
         public Overload {
             delayOnset = Check.or(delayOnset, Span.ms(20));
@@ -267,17 +302,37 @@
             levels(delayOnset, delayCeiling, memoryOnset, memoryCeiling, tableOnset, forecast, fairMultiple, 0);
         }
 
-        private static OverloadSettings levels(Span delayOnset, Span delayCeiling, double memoryOnset,
-                double memoryCeiling, double tableOnset, Span forecast, double fairMultiple, double longestAdvice) {
-            return new OverloadSettings(delayOnset.ms(), delayCeiling.ms(), memoryOnset, memoryCeiling, tableOnset,
-                    forecast.ms(), fairMultiple, longestAdvice);
+        private static OverloadSettings levels(
+                Span delayOnset,
+                Span delayCeiling,
+                double memoryOnset,
+                double memoryCeiling,
+                double tableOnset,
+                Span forecast,
+                double fairMultiple,
+                double longestAdvice) {
+            return new OverloadSettings(
+                    delayOnset.ms(),
+                    delayCeiling.ms(),
+                    memoryOnset,
+                    memoryCeiling,
+                    tableOnset,
+                    forecast.ms(),
+                    fairMultiple,
+                    longestAdvice);
         }
     }
 
     /** The levels of the front's own overload. */
     public OverloadSettings levels() {
-        return Overload.levels(overload.delayOnset(), overload.delayCeiling(), overload.memoryOnset(),
-                overload.memoryCeiling(), overload.tableOnset(), overload.forecast(), overload.fairMultiple(),
+        return Overload.levels(
+                overload.delayOnset(),
+                overload.delayCeiling(),
+                overload.memoryOnset(),
+                overload.memoryCeiling(),
+                overload.tableOnset(),
+                overload.forecast(),
+                overload.fairMultiple(),
                 fleet.maxReturnAdvice().ms());
     }
 
@@ -295,13 +350,26 @@
     public Settings forModule(long seed) {
         List<CallClass> forModule = new ArrayList<>();
         classes.forEach(c -> forModule.add(c.forModule()));
-        return new Settings(seed, OptionalInt.of(fleet.fronts()), forModule, OptionalInt.empty(),
-                OptionalInt.of(fleet.maxAttempts()), Optional.of(true), Optional.of(fleet.probes()),
-                Optional.of(false), Optional.of(false), OptionalDouble.of(2 * BEAT), OptionalDouble.of(SLACK),
-                OptionalDouble.of(fleet.drainGrace().ms()), OptionalDouble.of(fleet.coldFrom()),
-                OptionalDouble.of(fleet.warmWithin().ms()), OptionalDouble.of(fleet.tipMultiple()),
-                OptionalDouble.of(fleet.tipWindow().ms()), OptionalDouble.of(fleet.releaseGuard().ms()),
-                OptionalDouble.empty(), OptionalDouble.of(fleet.maxReturnAdvice().ms()));
+        return new Settings(
+                seed,
+                OptionalInt.of(fleet.fronts()),
+                forModule,
+                OptionalInt.empty(),
+                OptionalInt.of(fleet.maxAttempts()),
+                Optional.of(true),
+                Optional.of(fleet.probes()),
+                Optional.of(false),
+                Optional.of(false),
+                OptionalDouble.of(2 * BEAT),
+                OptionalDouble.of(SLACK),
+                OptionalDouble.of(fleet.drainGrace().ms()),
+                OptionalDouble.of(fleet.coldFrom()),
+                OptionalDouble.of(fleet.warmWithin().ms()),
+                OptionalDouble.of(fleet.tipMultiple()),
+                OptionalDouble.of(fleet.tipWindow().ms()),
+                OptionalDouble.of(fleet.releaseGuard().ms()),
+                OptionalDouble.empty(),
+                OptionalDouble.of(fleet.maxReturnAdvice().ms()));
     }
 
     /** The plan of numbers. */
@@ -312,7 +380,8 @@
             while (!classes.get(place).name().equals(range.of())) {
                 place++;
             }
-            entries.add(new NumberPlan.Entry(range.prefix(), place, range.patience().ms()));
+            entries.add(
+                    new NumberPlan.Entry(range.prefix(), place, range.patience().ms()));
         }
         return new NumberPlan(entries);
     }
--- a/src/main/java/damsonseam/config/Keys.java
+++ b/src/main/java/damsonseam/config/Keys.java
@@ -32,7 +32,8 @@
     private void value(JsonParser in, Type type, String place) throws IOException, SettingsException {
         if (in.currentToken() == JsonToken.START_ARRAY) {
             Type element = type instanceof ParameterizedType p && p.getRawType() == List.class
-                    ? p.getActualTypeArguments()[0] : Object.class;
+                    ? p.getActualTypeArguments()[0]
+                    : Object.class;
             for (int i = 0; in.nextToken() != JsonToken.END_ARRAY; i++) {
                 value(in, element, place + "[" + i + "]");
             }
@@ -55,8 +56,9 @@
             String key = in.currentName();
             String path = place.isEmpty() ? key : place + "." + key;
             if (!known.containsKey(key)) {
-                throw new SettingsException(name + ":" + in.currentTokenLocation().getLineNr() + ": " + path
-                        + ": unknown key, the nearest is " + nearest(key, known));
+                throw new SettingsException(
+                        name + ":" + in.currentTokenLocation().getLineNr() + ": " + path
+                                + ": unknown key, the nearest is " + nearest(key, known));
             }
             in.nextToken();
             value(in, known.get(key), path);
--- a/src/main/java/damsonseam/config/Span.java
+++ b/src/main/java/damsonseam/config/Span.java
@@ -19,16 +19,16 @@
     public static Span of(String text) {
         Matcher m = FORM.matcher(text.trim().toLowerCase(Locale.ROOT));
         if (!m.matches()) {
-            throw new IllegalArgumentException("expected a time with its unit, such as 250 ms or 1.5 s, found "
-                    + text);
+            throw new IllegalArgumentException("expected a time with its unit, such as 250 ms or 1.5 s, found " + text);
         }
-        double unit = switch (m.group(2)) {
-            case "ms" -> 1;
-            case "s" -> 1_000;
-            case "min" -> 60_000;
-            case "h" -> 3_600_000;
-            default -> 86_400_000;
-        };
+        double unit =
+                switch (m.group(2)) {
+                    case "ms" -> 1;
+                    case "s" -> 1_000;
+                    case "min" -> 60_000;
+                    case "h" -> 3_600_000;
+                    default -> 86_400_000;
+                };
         return new Span(Double.parseDouble(m.group(1)) * unit);
     }
 
--- a/src/main/java/damsonseam/config/Yaml.java
+++ b/src/main/java/damsonseam/config/Yaml.java
@@ -22,7 +22,7 @@
             .enable(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY)
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
 
-    private Yaml() { }
+    private Yaml() {}
 
     /**
      * Reads a file.
@@ -65,8 +65,10 @@
             return "";
         }
         return mapping.getPath().stream()
-                .map(r -> r.getFieldName() == null ? "[" + r.getIndex() + "]" : "." + r.getFieldName())
-                .collect(Collectors.joining()).replaceFirst("^\\.", "") + ": ";
+                        .map(r -> r.getFieldName() == null ? "[" + r.getIndex() + "]" : "." + r.getFieldName())
+                        .collect(Collectors.joining())
+                        .replaceFirst("^\\.", "")
+                + ": ";
     }
 
     private static String what(JsonProcessingException e) {
--- a/src/main/java/damsonseam/core/CallRecord.java
+++ b/src/main/java/damsonseam/core/CallRecord.java
@@ -10,7 +10,12 @@
 public final class CallRecord {
 
     /** Where a call is. Answered calls that stand stay until their circuit is released. */
-    public enum Phase { LOOKING_UP, TRYING, STANDING, OVER }
+    public enum Phase {
+        LOOKING_UP,
+        TRYING,
+        STANDING,
+        OVER
+    }
 
     private final long id;
     private final String number;
@@ -29,7 +34,13 @@
     private Timers.Timer deadlineTimer;
     private Timers.Timer attemptTimer;
 
-    CallRecord(long id, String number, int callClass, boolean redialled, double takenAt, double deadline,
+    CallRecord(
+            long id,
+            String number,
+            int callClass,
+            boolean redialled,
+            double takenAt,
+            double deadline,
             Ports.Caller caller) {
         this.id = id;
         this.number = number;
--- a/src/main/java/damsonseam/core/Candidates.java
+++ b/src/main/java/damsonseam/core/Candidates.java
@@ -15,7 +15,11 @@
     public static final Candidates UNAVAILABLE = new Candidates(Outcome.UNAVAILABLE, List.of());
 
     /** What a look-up came to. */
-    public enum Outcome { FOUND, UNKNOWN, UNAVAILABLE }
+    public enum Outcome {
+        FOUND,
+        UNKNOWN,
+        UNAVAILABLE
+    }
 
     /** A number that was found. */
     public static Candidates of(List<String> servers) {
--- a/src/main/java/damsonseam/core/FinalAnswer.java
+++ b/src/main/java/damsonseam/core/FinalAnswer.java
@@ -12,7 +12,12 @@
 
     /** The three ways in which a call is answered; {@code UNKNOWN_NUMBER} is a failure that dialling again
      * does not mend. */
-    public enum Kind { STANDS, REFUSED, FAILED, UNKNOWN_NUMBER }
+    public enum Kind {
+        STANDS,
+        REFUSED,
+        FAILED,
+        UNKNOWN_NUMBER
+    }
 
     static FinalAnswer stands(String server) {
         return new FinalAnswer(Kind.STANDS, server, 0, "stands");
--- a/src/main/java/damsonseam/core/NumberPlan.java
+++ b/src/main/java/damsonseam/core/NumberPlan.java
@@ -9,6 +9,7 @@
 public final class NumberPlan {
     /** Prefixes at most. */
     public static final int MOST = 100_000;
+
     private static final int DIGITS = 10;
 
     private final Node root = new Node();
@@ -21,7 +22,7 @@
      * @param callClass place of the class in the settings
      * @param patience how long a caller waits for one try, in milliseconds
      */
-    public record Entry(String prefix, int callClass, double patience) { }
+    public record Entry(String prefix, int callClass, double patience) {}
 
     private static final class Node {
         final Node[] next = new Node[DIGITS];
--- a/src/main/java/damsonseam/core/Pool.java
+++ b/src/main/java/damsonseam/core/Pool.java
@@ -32,21 +32,20 @@
      * @param state whether it takes work
      * @param startedAt when its processor started, on the front's clock, empty if long ago
      */
-    public record Server(String id, int number, String address, int pointCode, State state,
-            OptionalDouble startedAt) {
+    public record Server(String id, int number, String address, int pointCode, State state, OptionalDouble startedAt) {
         ServerEntry entry() {
             return new ServerEntry(id, number, startedAt, state);
         }
     }
 
     /** What came of an update: news for the module, and whether the whole list must be asked for. */
-    public record News(boolean full, List<ServerEntry> entries, boolean gap) { }
+    public record News(boolean full, List<ServerEntry> entries, boolean gap) {}
 
     /** Applies an update; an older or repeated version is passed over. */
     public News apply(long newVersion, boolean full, List<Server> entries) {
         if (entries.size() > MOST_SERVERS || !full && servers.size() + entries.size() > 2 * MOST_SERVERS) {
-            throw new IllegalArgumentException("an update of " + entries.size() + " servers, at most "
-                    + MOST_SERVERS + " are kept");
+            throw new IllegalArgumentException(
+                    "an update of " + entries.size() + " servers, at most " + MOST_SERVERS + " are kept");
         }
         if (full) {
             // A directory that was started anew counts from the beginning: its full list stands for itself.
@@ -61,7 +60,8 @@
         }
         if (newVersion > version + 1) {
             // Guards drains against lost news: what the change takes away is taken away before the list comes.
-            List<Server> closing = entries.stream().filter(s -> s.state() != State.RUNNING).toList();
+            List<Server> closing =
+                    entries.stream().filter(s -> s.state() != State.RUNNING).toList();
             closing.stream().filter(s -> servers.containsKey(s.id())).forEach(this::put);
             return new News(false, news(closing), true);
         }
--- a/src/main/java/damsonseam/core/Ports.java
+++ b/src/main/java/damsonseam/core/Ports.java
@@ -9,7 +9,7 @@
  */
 public final class Ports {
 
-    private Ports() { }
+    private Ports() {}
 
     /** Numbers are looked up here. */
     @FunctionalInterface
@@ -40,7 +40,7 @@
     }
 
     /** Why a set-up could not go out. */
-    public record NotSent(Result result, Reason reason) { }
+    public record NotSent(Result result, Reason reason) {}
 
     /** The caller's side of one call: told its final answer once. */
     @FunctionalInterface
--- a/src/main/java/damsonseam/core/QueueAge.java
+++ b/src/main/java/damsonseam/core/QueueAge.java
@@ -32,7 +32,10 @@
 
     /** The marker to send to the own socket now. */
     public byte[] marker(double now) {
-        return ByteBuffer.allocate(NONCE + Double.BYTES).put(nonce).putDouble(now).array();
+        return ByteBuffer.allocate(NONCE + Double.BYTES)
+                .put(nonce)
+                .putDouble(now)
+                .array();
     }
 
     /** Takes octets read from the socket; true if they were a marker, and nothing of a caller's. */
--- a/src/main/java/damsonseam/core/Router.java
+++ b/src/main/java/damsonseam/core/Router.java
@@ -41,17 +41,26 @@
     private final Counters counters = new Counters();
     /** Ends of attempts that were found out while the module was acting: it hears of them when it is done. */
     private final ArrayDeque<Runnable> echoes = new ArrayDeque<>();
+
     private double now;
     private double beatAt = Double.NaN;
     private double beatBefore = Double.NaN;
     /** Calls whose callers are owed an answer, by class; the last place is their sum. */
     private final int[] owed;
+
     private boolean unsettled;
     private boolean draining;
 
     /** A router over the given ports; {@code module} makes the decision module for the router's actions. */
-    public Router(RouterSettings settings, Function<Actions, Front> module, CallTable calls, Timers timers,
-            Ports.Lookups lookups, Ports.Trunks trunks, Ports.Directory directory, Story story) {
+    public Router(
+            RouterSettings settings,
+            Function<Actions, Front> module,
+            CallTable calls,
+            Timers timers,
+            Ports.Lookups lookups,
+            Ports.Trunks trunks,
+            Ports.Directory directory,
+            Story story) {
         this.settings = settings;
         this.calls = calls;
         this.timers = timers;
@@ -135,8 +144,8 @@
      * @param age how long it may have waited unread; it is taken off the time left
      * @return the call, or null if it was answered at once (its caller has been told)
      */
-    public CallRecord offered(double at, String number, int callClass, double timeLeft, double age,
-            boolean redialled, Caller caller) {
+    public CallRecord offered(
+            double at, String number, int callClass, double timeLeft, double age, boolean redialled, Caller caller) {
         CallRecord call = take(at, number, callClass, timeLeft, age, redialled, caller);
         if (call != null) {
             lookups.lookUp(call.id(), number, call.deadline() - settings.lastMoment());
@@ -149,8 +158,15 @@
      *
      * @param firstChoice number of its first choice, -1 for none
      */
-    public CallRecord routed(double at, String number, int callClass, int firstChoice, double timeLeft, double age,
-            boolean redialled, Caller caller) {
+    public CallRecord routed(
+            double at,
+            String number,
+            int callClass,
+            int firstChoice,
+            double timeLeft,
+            double age,
+            boolean redialled,
+            Caller caller) {
         CallRecord call = take(at, number, callClass, timeLeft, age, redialled, caller);
         if (call != null) {
             offer(call, firstChoice, List.of());
@@ -158,8 +174,8 @@
         return call;
     }
 
-    private CallRecord take(double at, String number, int callClass, double timeLeft, double age,
-            boolean redialled, Caller caller) {
+    private CallRecord take(
+            double at, String number, int callClass, double timeLeft, double age, boolean redialled, Caller caller) {
         clock(at);
         double deadline = now + timeLeft - age;
         CallRecord call = new CallRecord(calls.nextId(), number, callClass, redialled, now, deadline, caller);
@@ -167,8 +183,11 @@
         owes(call, 1);
         if (calls.full() || draining) {
             counters.tableFull += draining ? 0 : 1;
-            finish(call, FinalAnswer.refused(settings.module().maxReturnAdvice().orElse(0),
-                    draining ? "front is closing" : "call table full"));
+            finish(
+                    call,
+                    FinalAnswer.refused(
+                            settings.module().maxReturnAdvice().orElse(0),
+                            draining ? "front is closing" : "call table full"));
             return null;
         }
         calls.add(call);
@@ -183,8 +202,17 @@
 
     private void offer(CallRecord call, int firstChoice, List<Integer> numbers) {
         call.found();
-        module.offered(now, new Call(call.id(), call.number(), call.callClass(), firstChoice,
-                call.deadline() - now, call.redialled(), false, numbers));
+        module.offered(
+                now,
+                new Call(
+                        call.id(),
+                        call.number(),
+                        call.callClass(),
+                        firstChoice,
+                        call.deadline() - now,
+                        call.redialled(),
+                        false,
+                        numbers));
         heard();
     }
 
@@ -222,8 +250,18 @@
         releaseAttempt(call, result == Result.TIMED_OUT);
         module.left(now, call.id());
         if (out) {
-            module.ended(now, new Ending(call.id(), call.server(), call.attempts() - 1, now - call.sentAt(), result,
-                    Reason.NONE, OptionalDouble.empty(), true, Report.NONE));
+            module.ended(
+                    now,
+                    new Ending(
+                            call.id(),
+                            call.server(),
+                            call.attempts() - 1,
+                            now - call.sentAt(),
+                            result,
+                            Reason.NONE,
+                            OptionalDouble.empty(),
+                            true,
+                            Report.NONE));
         }
         heard();
     }
@@ -236,8 +274,7 @@
             return;
         }
         switch (candidates.outcome()) {
-            case UNKNOWN -> finish(call, new FinalAnswer(FinalAnswer.Kind.UNKNOWN_NUMBER, "", 0,
-                    "unknown number"));
+            case UNKNOWN -> finish(call, new FinalAnswer(FinalAnswer.Kind.UNKNOWN_NUMBER, "", 0, "unknown number"));
             case UNAVAILABLE -> finish(call, FinalAnswer.failed("look-up failed"));
             default -> {
                 story.step(now, call, "looked-up", String.join(" ", candidates.servers()));
@@ -305,8 +342,8 @@
     }
 
     /** An attempt, or the standing call that it became, was ended by the far side or with its connection. */
-    public void ended(double at, long id, int attempt, Result result, Reason reason, OptionalDouble toldWait,
-            Report report) {
+    public void ended(
+            double at, long id, int attempt, Result result, Reason reason, OptionalDouble toldWait, Report report) {
         clock(at);
         CallRecord call = calls.get(id);
         if (call == null || !call.isAttempt(attempt) || !call.out() && call.phase() != Phase.STANDING) {
@@ -315,8 +352,8 @@
         end(call, attempt, result, reason, toldWait, report);
     }
 
-    private void end(CallRecord call, int attempt, Result result, Reason reason, OptionalDouble toldWait,
-            Report report) {
+    private void end(
+            CallRecord call, int attempt, Result result, Reason reason, OptionalDouble toldWait, Report report) {
         boolean last = call.phase() == Phase.STANDING;
         double took = (call.releasing() == null ? now : call.releasedAt()) - call.sentAt();
         timers.cancel(call.swapAttemptTimer(null));
@@ -324,8 +361,7 @@
             call.attemptOver();
         }
         story.step(now, call, "ended", call.server() + " " + result);
-        module.ended(now, new Ending(call.id(), call.server(), attempt, took, result, reason,
-                toldWait, last, report));
+        module.ended(now, new Ending(call.id(), call.server(), attempt, took, result, reason, toldWait, last, report));
         heard();
         if (last) {
             call.close();
@@ -387,8 +423,7 @@
     }
 
     /** The answer to a probe, or with {@code asked} false a report that came by itself. */
-    public void probed(double at, String server, boolean asked, boolean answered, double delay,
-            Report report) {
+    public void probed(double at, String server, boolean asked, boolean answered, double delay, Report report) {
         clock(at);
         module.probed(now, server, asked, answered, delay, report);
         heard();
@@ -408,8 +443,8 @@
         NotSent notSent = trunks.setUp(now, server, id, attempt, until, call);
         if (notSent != null) {
             counters.notSent++;
-            echoes.add(() -> ended(now, id, attempt, notSent.result(), notSent.reason(),
-                    OptionalDouble.empty(), Report.NONE));
+            echoes.add(() ->
+                    ended(now, id, attempt, notSent.result(), notSent.reason(), OptionalDouble.empty(), Report.NONE));
             return;
         }
         counters.setUps++;
@@ -495,7 +530,9 @@
                 finish(call, FinalAnswer.failed("front is closing"));
             } else if (call.phase() != Phase.STANDING && call.phase() != Phase.OVER) {
                 module.left(now, call.id());
-                finish(call, FinalAnswer.refused(settings.module().maxReturnAdvice().orElse(0), "front is closing"));
+                finish(
+                        call,
+                        FinalAnswer.refused(settings.module().maxReturnAdvice().orElse(0), "front is closing"));
             }
         }
         heard();
--- a/src/main/java/damsonseam/core/RouterSettings.java
+++ b/src/main/java/damsonseam/core/RouterSettings.java
@@ -11,5 +11,4 @@
  * @param releaseWait how long the proof is awaited that a server has a release, in milliseconds
  * @param lastMoment how long before a caller gives up the core itself fails a call still unanswered
  */
-public record RouterSettings(Settings module, int mostCalls, double beat, double releaseWait,
-        double lastMoment) { }
+public record RouterSettings(Settings module, int mostCalls, double beat, double releaseWait, double lastMoment) {}
--- a/src/main/java/damsonseam/core/Timers.java
+++ b/src/main/java/damsonseam/core/Timers.java
@@ -16,6 +16,7 @@
 public final class Timers {
     /** A tick is a millisecond; 4,096 slots turn every four seconds, about as long as a caller waits. */
     private static final double TICK = 1.0;
+
     private static final int SLOTS = 1 << 12;
 
     private final Timer[] slots = new Timer[SLOTS];
--- a/src/main/java/damsonseam/dns/Authorities.java
+++ b/src/main/java/damsonseam/dns/Authorities.java
@@ -10,6 +10,7 @@
 public final class Authorities {
     /** Waits lie between these, in milliseconds: a caller waits seconds, a loopback answers in microseconds. */
     private static final double LEAST_WAIT = 20;
+
     private static final double MOST_WAIT = 1_000;
     /** The wait before anything is known of an authority: far lower than callers bear, above a busy link's. */
     private static final double FIRST_WAIT = 200;
@@ -17,6 +18,7 @@
     private static final double LAME_SPAN = 5_000;
     /** Silences in a row after which an authority counts as out, and how often it is tried all the same. */
     private static final int OUT_AFTER = 3;
+
     private static final double RETRY_SPAN = 1_000;
     private static final int MOST_DOUBLINGS = 6;
 
--- a/src/main/java/damsonseam/dns/CallHints.java
+++ b/src/main/java/damsonseam/dns/CallHints.java
@@ -19,12 +19,17 @@
     public static final int CODE = 65050;
     /** Nothing told. */
     public static final CallHints NONE = new CallHints(false, 0);
+
     private static final int LENGTH = 5;
 
     /** The option. */
     public EDNSOption option() {
-        return new GenericEDNSOption(CODE, ByteBuffer.allocate(LENGTH).put((byte) (redialled ? 1 : 0))
-                .putInt((int) Math.min(Integer.MAX_VALUE, time)).array());
+        return new GenericEDNSOption(
+                CODE,
+                ByteBuffer.allocate(LENGTH)
+                        .put((byte) (redialled ? 1 : 0))
+                        .putInt((int) Math.min(Integer.MAX_VALUE, time))
+                        .array());
     }
 
     /** What a message's OPT record tells; nothing if there is none or it is too short. */
--- a/src/main/java/damsonseam/dns/DnsCodec.java
+++ b/src/main/java/damsonseam/dns/DnsCodec.java
@@ -12,7 +12,7 @@
     /** Octets of a UDP answer where the question has no EDNS (RFC 1035 2.3.4). */
     public static final int PLAIN_UDP = 512;
 
-    private DnsCodec() { }
+    private DnsCodec() {}
 
     /** Reads a message. */
     public static Message decode(byte[] in) throws DnsFormatException {
--- a/src/main/java/damsonseam/dns/E164Name.java
+++ b/src/main/java/damsonseam/dns/E164Name.java
@@ -8,7 +8,7 @@
     /** Digits at most; E.164 has 15, some networks add a few. */
     public static final int MOST_DIGITS = 20;
 
-    private E164Name() { }
+    private E164Name() {}
 
     /** A suffix from its text form, absolute. */
     public static Name suffix(String text) {
--- a/src/main/java/damsonseam/dns/EnumReplies.java
+++ b/src/main/java/damsonseam/dns/EnumReplies.java
@@ -33,7 +33,7 @@
     /** How long resolvers may keep that a number or type does not exist, in seconds. */
     private static final int NEGATIVE_TTL = 1;
 
-    private EnumReplies() { }
+    private EnumReplies() {}
 
     /** The final answer of a call as octets, cut to {@code limit} with TC set where it is longer. */
     public static byte[] of(Message query, long call, FinalAnswer answer, Name suffix, int limit) {
@@ -42,27 +42,37 @@
             case STANDS -> {
                 Message reply = start(query, Rcode.NOERROR);
                 String uri = "!^.*$!sip:" + Long.toHexString(call) + "@" + answer.server() + "!";
-                reply.addRecord(new NAPTRRecord(asked, DClass.IN, NO_TTL, 100, 10, "u", "E2U+sip", uri,
-                        Name.root), Section.ANSWER);
+                reply.addRecord(
+                        new NAPTRRecord(asked, DClass.IN, NO_TTL, 100, 10, "u", "E2U+sip", uri, Name.root),
+                        Section.ANSWER);
                 yield finish(query, reply, limit);
             }
             case REFUSED -> {
                 long wait = Math.round(answer.returnAfter());
-                yield finish(query, start(query, Rcode.REFUSED), limit, new CallHints(false, wait).option(),
-                        new ExtendedErrorCodeOption(EDE_REFUSED, answer.why()
-                                + (wait > 0 ? "; return after " + wait + " ms" : "")));
+                yield finish(
+                        query,
+                        start(query, Rcode.REFUSED),
+                        limit,
+                        new CallHints(false, wait).option(),
+                        new ExtendedErrorCodeOption(
+                                EDE_REFUSED, answer.why() + (wait > 0 ? "; return after " + wait + " ms" : "")));
             }
             case UNKNOWN_NUMBER -> negative(query, Rcode.NXDOMAIN, suffix, limit);
-            default -> finish(query, start(query, Rcode.SERVFAIL), limit,
-                    new ExtendedErrorCodeOption(EDE_FAILED, answer.why()));
+            default ->
+                finish(
+                        query,
+                        start(query, Rcode.SERVFAIL),
+                        limit,
+                        new ExtendedErrorCodeOption(EDE_FAILED, answer.why()));
         };
     }
 
     /** That a name, or a type at a name, does not exist. */
     static byte[] negative(Message query, int rcode, Name suffix, int limit) {
         Message reply = start(query, rcode);
-        reply.addRecord(new SOARecord(suffix, DClass.IN, NEGATIVE_TTL, suffix, suffix, 1, 3600, 600, 86_400,
-                NEGATIVE_TTL), Section.AUTHORITY);
+        reply.addRecord(
+                new SOARecord(suffix, DClass.IN, NEGATIVE_TTL, suffix, suffix, 1, 3600, 600, 86_400, NEGATIVE_TTL),
+                Section.AUTHORITY);
         return finish(query, reply, limit);
     }
 
@@ -120,8 +130,8 @@
     /** BADVERS: an EDNS version that is not spoken here (RFC 6891 6.1.3). */
     static byte[] badVersion(Message query, int limit) {
         Message reply = start(query, Rcode.NOERROR);
-        reply.addRecord(new OPTRecord(DnsCodec.SAFE_UDP, Rcode.BADVERS >> 4, 0, 0, new ArrayList<>()),
-                Section.ADDITIONAL);
+        reply.addRecord(
+                new OPTRecord(DnsCodec.SAFE_UDP, Rcode.BADVERS >> 4, 0, 0, new ArrayList<>()), Section.ADDITIONAL);
         return reply.toWire(limit);
     }
 }
--- a/src/main/java/damsonseam/dns/EnumService.java
+++ b/src/main/java/damsonseam/dns/EnumService.java
@@ -84,14 +84,20 @@
      * @param gate what may turn a call away; not asked for questions sent again
      * @return the call that this question opened, or null
      */
-    public CallRecord question(double now, Object source, boolean stream, double age, byte[] octets, Gate gate,
-            ReplyTo reply) {
+    public CallRecord question(
+            double now, Object source, boolean stream, double age, byte[] octets, Gate gate, ReplyTo reply) {
         PlainQuestion plain = PlainQuestion.read(octets, plainSuffix);
         if (plain != null) {
             NumberPlan.Entry entry = plan.find(plain.number());
             if (entry != null) {
-                return call(now, new Asked(source, plain, null, plain.number(),
-                        stream ? Message.MAXLENGTH : plain.limit()), plain.hints(), entry, age, gate, reply);
+                return call(
+                        now,
+                        new Asked(source, plain, null, plain.number(), stream ? Message.MAXLENGTH : plain.limit()),
+                        plain.hints(),
+                        entry,
+                        age,
+                        gate,
+                        reply);
             }
         }
         if (DnsCodec.isAnswer(octets)) {
@@ -123,7 +129,13 @@
             reply.send(EnumReplies.negative(query, exists ? Rcode.NOERROR : Rcode.NXDOMAIN, suffix, limit));
             return null;
         }
-        return call(now, new Asked(source, null, query, number, limit), CallHints.of(query.getOPT()), entry, age, gate,
+        return call(
+                now,
+                new Asked(source, null, query, number, limit),
+                CallHints.of(query.getOPT()),
+                entry,
+                age,
+                gate,
                 reply);
     }
 
@@ -133,16 +145,23 @@
      * @param source as the key of questions sent again
      * @param age how long it may have waited, in milliseconds
      */
-    public CallRecord question(double now, Object source, double age, PlainQuestion plain, NumberPlan.Entry entry,
-            ReplyTo reply) {
-        return call(now, new Asked(source, plain, null, plain.number(), plain.limit()), plain.hints(), entry, age,
-                Gate.OPEN, reply);
+    public CallRecord question(
+            double now, Object source, double age, PlainQuestion plain, NumberPlan.Entry entry, ReplyTo reply) {
+        return call(
+                now,
+                new Asked(source, plain, null, plain.number(), plain.limit()),
+                plain.hints(),
+                entry,
+                age,
+                Gate.OPEN,
+                reply);
     }
 
     /** A question for a number, read the short way or the long one. */
     private record Asked(Object source, PlainQuestion plain, Message query, String number, int limit) {
         Transactions.Key key() {
-            return new Transactions.Key(source, plain != null ? plain.id() : query.getHeader().getID(), number);
+            return new Transactions.Key(
+                    source, plain != null ? plain.id() : query.getHeader().getID(), number);
         }
 
         Message message() {
@@ -159,8 +178,8 @@
         }
     }
 
-    private CallRecord call(double now, Asked asked, CallHints hints, NumberPlan.Entry entry, double age, Gate gate,
-            ReplyTo reply) {
+    private CallRecord call(
+            double now, Asked asked, CallHints hints, NumberPlan.Entry entry, double age, Gate gate, ReplyTo reply) {
         Transactions.Key key = asked.key();
         Transactions.Entry known = transactions.find(key, now);
         if (known != null) {
@@ -172,8 +191,8 @@
         }
         if (!transactions.open(key, now)) {
             counts.noRoom++;
-            reply.send(EnumReplies.error(asked.message(), Rcode.REFUSED, EnumReplies.EDE_REFUSED, "no room",
-                    asked.limit()));
+            reply.send(EnumReplies.error(
+                    asked.message(), Rcode.REFUSED, EnumReplies.EDE_REFUSED, "no room", asked.limit()));
             return null;
         }
         long advice = gate.decide(now, entry.callClass(), asked.source());
@@ -185,7 +204,13 @@
             return null;
         }
         double timeLeft = hints.time() > 0 ? Math.min(hints.time(), entry.patience()) : entry.patience();
-        return router.offered(now, asked.number(), entry.callClass(), timeLeft - wayBack, age, hints.redialled(),
+        return router.offered(
+                now,
+                asked.number(),
+                entry.callClass(),
+                timeLeft - wayBack,
+                age,
+                hints.redialled(),
                 (at, call, answer) -> {
                     byte[] octets = asked.answer(call.id(), answer, suffix);
                     transactions.answer(key, octets, at);
@@ -198,7 +223,8 @@
             return Message.MAXLENGTH;
         }
         OPTRecord opt = query.getOPT();
-        return opt == null ? DnsCodec.PLAIN_UDP
+        return opt == null
+                ? DnsCodec.PLAIN_UDP
                 : Math.max(DnsCodec.PLAIN_UDP, Math.min(DnsCodec.SAFE_UDP, opt.getPayloadSize()));
     }
 
@@ -206,14 +232,25 @@
     private byte[] notServed(Message query, int limit) {
         Header header = query.getHeader();
         if (header.getOpcode() != Opcode.QUERY) {
-            return EnumReplies.error(query, Rcode.NOTIMP, ExtendedErrorCodeOption.NOT_SUPPORTED,
-                    "opcode " + Opcode.string(header.getOpcode()), limit);
+            return EnumReplies.error(
+                    query,
+                    Rcode.NOTIMP,
+                    ExtendedErrorCodeOption.NOT_SUPPORTED,
+                    "opcode " + Opcode.string(header.getOpcode()),
+                    limit);
         }
         if (header.getCount(Section.QUESTION) != 1 || query.getQuestion() == null) {
-            return EnumReplies.error(query, Rcode.FORMERR, ExtendedErrorCodeOption.OTHER,
-                    header.getCount(Section.QUESTION) + " questions, expected 1", limit);
+            return EnumReplies.error(
+                    query,
+                    Rcode.FORMERR,
+                    ExtendedErrorCodeOption.OTHER,
+                    header.getCount(Section.QUESTION) + " questions, expected 1",
+                    limit);
         }
-        if (query.getSection(Section.ADDITIONAL).stream().filter(r -> r.getType() == Type.OPT).count() > 1) {
+        if (query.getSection(Section.ADDITIONAL).stream()
+                        .filter(r -> r.getType() == Type.OPT)
+                        .count()
+                > 1) {
             // RFC 6891 6.1.1: more than one OPT is a format error.
             return EnumReplies.error(query, Rcode.FORMERR, ExtendedErrorCodeOption.OTHER, "more than one OPT", limit);
         }
@@ -222,12 +259,16 @@
         }
         Record asked = query.getQuestion();
         if (asked.getDClass() != DClass.IN) {
-            return EnumReplies.error(query, Rcode.REFUSED, ExtendedErrorCodeOption.NOT_SUPPORTED,
-                    "class " + DClass.string(asked.getDClass()), limit);
+            return EnumReplies.error(
+                    query,
+                    Rcode.REFUSED,
+                    ExtendedErrorCodeOption.NOT_SUPPORTED,
+                    "class " + DClass.string(asked.getDClass()),
+                    limit);
         }
         if (!asked.getName().subdomain(suffix)) {
-            return EnumReplies.error(query, Rcode.REFUSED, ExtendedErrorCodeOption.NOT_AUTHORITATIVE,
-                    "not under " + suffix, limit);
+            return EnumReplies.error(
+                    query, Rcode.REFUSED, ExtendedErrorCodeOption.NOT_AUTHORITATIVE, "not under " + suffix, limit);
         }
         return null;
     }
--- a/src/main/java/damsonseam/dns/LookupCache.java
+++ b/src/main/java/damsonseam/dns/LookupCache.java
@@ -12,6 +12,7 @@
 public final class LookupCache {
     /** Longest time for which anything is taken to be fresh, in milliseconds: a day. */
     private static final double MOST_FRESH = 86_400_000;
+
     private static final double MOST_NEGATIVE = 10_800_000;
     private static final double FAILURE_SPAN = 1_000;
     private static final double MS_PER_S = 1_000;
@@ -29,7 +30,7 @@
     }
 
     /** What the cache knows: fresh, or only stale, and whether a look-up has just failed. */
-    public record Known(Candidates candidates, boolean fresh, boolean justFailed) { }
+    public record Known(Candidates candidates, boolean fresh, boolean justFailed) {}
 
     /**
      * An empty cache.
--- a/src/main/java/damsonseam/dns/NaptrRules.java
+++ b/src/main/java/damsonseam/dns/NaptrRules.java
@@ -16,10 +16,11 @@
 public final class NaptrRules {
     /** Rules looked at in one answer; those beyond, which come last, are passed over. */
     public static final int MOST = 32;
+
     private static final int MOST_PATTERN = 256;
     private static final String SERVICE = "E2U+SIP";
 
-    private NaptrRules() { }
+    private NaptrRules() {}
 
     /** The host parts of the URIs that a number leads to, first choice first; rules that do not fit are left out. */
     public static List<String> servers(String number, List<NAPTRRecord> records) {
@@ -67,7 +68,8 @@
         }
         int flags = expression.substring(end + 1).equals("i") ? Pattern.CASE_INSENSITIVE : 0;
         try {
-            Matcher matcher = Pattern.compile(expression.substring(1, middle), flags).matcher(to);
+            Matcher matcher =
+                    Pattern.compile(expression.substring(1, middle), flags).matcher(to);
             return matcher.find() ? replace(expression.substring(middle + 1, end), matcher) : null;
         } catch (PatternSyntaxException e) {
             return null;
--- a/src/main/java/damsonseam/dns/PlainQuestion.java
+++ b/src/main/java/damsonseam/dns/PlainQuestion.java
@@ -52,8 +52,7 @@
         }
     }
 
-    private PlainQuestion(byte[] octets, int questionEnd, String number, boolean edns, int payload,
-            CallHints hints) {
+    private PlainQuestion(byte[] octets, int questionEnd, String number, boolean edns, int payload, CallHints hints) {
         this.octets = octets;
         this.questionEnd = questionEnd;
         this.number = number;
@@ -65,8 +64,13 @@
     /** Reads octets; null if they are not of the plain form. */
     public static PlainQuestion read(byte[] in, Suffix suffix) {
         // A query of opcode 0, not truncated; one question, no answers, no authority, at most one more record.
-        if (in.length < DnsCodec.HEADER || (in[2] & 0xfe) != 0 || (in[3] & 0x0f) != 0 || u16(in, 4) != 1
-                || u16(in, 6) != 0 || u16(in, 8) != 0 || u16(in, 10) > 1) {
+        if (in.length < DnsCodec.HEADER
+                || (in[2] & 0xfe) != 0
+                || (in[3] & 0x0f) != 0
+                || u16(in, 4) != 1
+                || u16(in, 6) != 0
+                || u16(in, 8) != 0
+                || u16(in, 10) > 1) {
             return null;
         }
         int at = DnsCodec.HEADER;
@@ -88,7 +92,8 @@
         }
         String text = new String(number, StandardCharsets.ISO_8859_1);
         if (u16(in, 10) == 0) {
-            return end == in.length ? new PlainQuestion(in, end, text, false, DnsCodec.PLAIN_UDP, CallHints.NONE)
+            return end == in.length
+                    ? new PlainQuestion(in, end, text, false, DnsCodec.PLAIN_UDP, CallHints.NONE)
                     : null;
         }
         return withOpt(in, end, text);
@@ -96,12 +101,16 @@
 
     /** One OPT of version 0 up to the end of the message (RFC 6891 6.1.2), its options whole. */
     private static PlainQuestion withOpt(byte[] in, int end, String number) {
-        if (in.length < end + OPT_FIXED || in[end] != 0 || u16(in, end + 1) != Type.OPT || in[end + 5] != 0
-                || in[end + 6] != 0 || u16(in, end + 9) != in.length - end - OPT_FIXED) {
+        if (in.length < end + OPT_FIXED
+                || in[end] != 0
+                || u16(in, end + 1) != Type.OPT
+                || in[end + 5] != 0
+                || in[end + 6] != 0
+                || u16(in, end + 9) != in.length - end - OPT_FIXED) {
             return null;
         }
         CallHints hints = null;
-        for (int at = end + OPT_FIXED; at < in.length;) {
+        for (int at = end + OPT_FIXED; at < in.length; ) {
             if (at + OPTION_HEAD > in.length || at + OPTION_HEAD + u16(in, at + 2) > in.length) {
                 return null;
             }
--- a/src/main/java/damsonseam/dns/PlainReply.java
+++ b/src/main/java/damsonseam/dns/PlainReply.java
@@ -36,11 +36,19 @@
         int data = RULE.length + 1 + rule.length + 1;
         PlainReply reply = start(query, Rcode.NOERROR, 1, 12 + data + (query.edns() ? 11 : 0));
         // A name with letters beyond ASCII or a backslash would have to be escaped: dnsjava knows how.
-        if (rule.length > MOST_STRING || reply.out.length > limit || server.indexOf('\\') >= 0
+        if (rule.length > MOST_STRING
+                || reply.out.length > limit
+                || server.indexOf('\\') >= 0
                 || server.chars().anyMatch(c -> c < ' ' || c > '~')) {
             return null;
         }
-        reply.u16(POINTER_TO_QUESTION).u16(Type.NAPTR).u16(DClass.IN).u16(0).u16(0).u16(data).octets(RULE);
+        reply.u16(POINTER_TO_QUESTION)
+                .u16(Type.NAPTR)
+                .u16(DClass.IN)
+                .u16(0)
+                .u16(0)
+                .u16(data)
+                .octets(RULE);
         reply.out[reply.at++] = (byte) rule.length;
         reply.octets(rule).at++;
         if (query.edns()) {
--- a/src/main/java/damsonseam/dns/Resolver.java
+++ b/src/main/java/damsonseam/dns/Resolver.java
@@ -32,6 +32,7 @@
 public final class Resolver implements Ports.Lookups {
     /** Answers with the wrong id or question after which a question is asked over TCP: somebody is guessing. */
     private static final int MOST_MISMATCHES = 4;
+
     private static final int EDNS_SIZE = DnsCodec.SAFE_UDP;
 
     /** Where questions go. */
@@ -57,7 +58,7 @@
      * @param mostLookups look-ups out at one time at most; one more has failed at once
      * @param staleAfter after how long an old answer is given where there is one, in milliseconds
      */
-    public record Limits(int sockets, int tries, int mostLookups, double staleAfter) { }
+    public record Limits(int sockets, int tries, int mostLookups, double staleAfter) {}
 
     /** Counts for reports. */
     public static final class Counts {
@@ -79,9 +80,9 @@
         public long failed;
     }
 
-    private record Asked(int id, int authority, int socket, Name name, double at) { }
+    private record Asked(int id, int authority, int socket, Name name, double at) {}
 
-    private record Waiting(long call, double deadline) { }
+    private record Waiting(long call, double deadline) {}
 
     /** One look-up: the questions out for it and the calls that wait. */
     private static final class Lookup {
@@ -114,12 +115,19 @@
     private final Map<Integer, List<Lookup>> byId = new HashMap<>();
     /** Answers known without asking; no more than the calls of one turn. */
     private final ArrayDeque<Runnable> known = new ArrayDeque<>();
+
     private final Counts counts = new Counts();
     private double now;
 
     /** A resolver for one zone. */
-    public Resolver(Name suffix, LookupCache cache, Authorities authorities, Timers timers, long seed,
-            Limits limits, Output out) {
+    public Resolver(
+            Name suffix,
+            LookupCache cache,
+            Authorities authorities,
+            Timers timers,
+            long seed,
+            Limits limits,
+            Output out) {
         this.suffix = suffix;
         this.cache = cache;
         this.authorities = authorities;
@@ -279,8 +287,11 @@
 
     private static boolean fits(Asked asked, int authority, int socket, Message message) {
         Record question = message.getQuestion();
-        return asked.authority() == authority && asked.socket() == socket && question != null
-                && message.getHeader().getFlag(Flags.QR) && question.getType() == Type.NAPTR
+        return asked.authority() == authority
+                && asked.socket() == socket
+                && question != null
+                && message.getHeader().getFlag(Flags.QR)
+                && question.getType() == Type.NAPTR
                 && question.getDClass() == DClass.IN
                 && question.getName().toString().equals(asked.name().toString());
     }
@@ -319,7 +330,9 @@
             }
             List<String> servers = NaptrRules.servers(lookup.number, rules);
             boolean none = servers.isEmpty();
-            found(lookup, none ? Candidates.UNKNOWN : Candidates.of(servers),
+            found(
+                    lookup,
+                    none ? Candidates.UNKNOWN : Candidates.of(servers),
                     rules.isEmpty() ? negativeTtl(message) : ttl);
         }
     }
--- a/src/main/java/damsonseam/dns/Transactions.java
+++ b/src/main/java/damsonseam/dns/Transactions.java
@@ -12,7 +12,7 @@
 public final class Transactions {
 
     /** What tells one question from another: where it came from, its id, and the number asked for. */
-    public record Key(Object source, int id, String number) { }
+    public record Key(Object source, int id, String number) {}
 
     /** What is known of a question. */
     public static final class Entry {
--- a/src/main/java/damsonseam/front/CallQueue.java
+++ b/src/main/java/damsonseam/front/CallQueue.java
@@ -21,8 +21,13 @@
      * @param readAt when it was read from the socket, in milliseconds
      * @param age how long it may have waited there before
      */
-    record Waiting(InetSocketAddress from, PlainQuestion plain, NumberPlan.Entry entry, byte[] octets, double readAt,
-            double age) { }
+    record Waiting(
+            InetSocketAddress from,
+            PlainQuestion plain,
+            NumberPlan.Entry entry,
+            byte[] octets,
+            double readAt,
+            double age) {}
 
     /** Empty lines for so many ranks, each with room for so many. */
     CallQueue(int ranks, int room) {
--- a/src/main/java/damsonseam/front/DirectoryClient.java
+++ b/src/main/java/damsonseam/front/DirectoryClient.java
@@ -40,8 +40,12 @@
     DirectoryClient(Loop loop, String front, InetSocketAddress address) {
         this.loop = loop;
         this.front = front;
-        channel = NettyChannelBuilder.forAddress(address).usePlaintext().maxInboundMessageSize(MOST_MESSAGE)
-                .keepAliveTime(30, TimeUnit.SECONDS).keepAliveTimeout(2, TimeUnit.SECONDS).build();
+        channel = NettyChannelBuilder.forAddress(address)
+                .usePlaintext()
+                .maxInboundMessageSize(MOST_MESSAGE)
+                .keepAliveTime(30, TimeUnit.SECONDS)
+                .keepAliveTimeout(2, TimeUnit.SECONDS)
+                .build();
     }
 
     void start(Router router, TrunkLinks trunks) {
@@ -67,24 +71,26 @@
         cancel();
         long mine = ++generation;
         stream = Context.ROOT.withCancellation();
-        FollowRequest request = FollowRequest.newBuilder().setFront(front).setKnownVersion(knownVersion).build();
-        stream.run(() -> PoolDirectoryGrpc.newStub(channel).withWaitForReady().follow(request,
-                new StreamObserver<>() {
-                    @Override
-                    public void onNext(Update update) {
-                        hand(() -> update(mine, update));
-                    }
-
-                    @Override
-                    public void onError(Throwable error) {
-                        hand(() -> broke(mine, error.getMessage()));
-                    }
-
-                    @Override
-                    public void onCompleted() {
-                        hand(() -> broke(mine, "closed by the directory"));
-                    }
-                }));
+        FollowRequest request = FollowRequest.newBuilder()
+                .setFront(front)
+                .setKnownVersion(knownVersion)
+                .build();
+        stream.run(() -> PoolDirectoryGrpc.newStub(channel).withWaitForReady().follow(request, new StreamObserver<>() {
+            @Override
+            public void onNext(Update update) {
+                hand(() -> update(mine, update));
+            }
+
+            @Override
+            public void onError(Throwable error) {
+                hand(() -> broke(mine, error.getMessage()));
+            }
+
+            @Override
+            public void onCompleted() {
+                hand(() -> broke(mine, "closed by the directory"));
+            }
+        }));
     }
 
     /** News that comes while the front ends is nobody's any more. */
@@ -103,12 +109,17 @@
         try {
             gap = router.directory(now, update.getVersion(), update.getFull(), servers(update, now));
         } catch (IllegalArgumentException e) {
-            LOG.atWarn().addKeyValue("version", update.getVersion()).addKeyValue("why", e.getMessage())
+            LOG.atWarn()
+                    .addKeyValue("version", update.getVersion())
+                    .addKeyValue("why", e.getMessage())
                     .log("directory update refused");
             return;
         }
-        LOG.atInfo().addKeyValue("version", update.getVersion()).addKeyValue("full", update.getFull())
-                .addKeyValue("entries", update.getEntriesCount()).log("directory update");
+        LOG.atInfo()
+                .addKeyValue("version", update.getVersion())
+                .addKeyValue("full", update.getFull())
+                .addKeyValue("entries", update.getEntriesCount())
+                .log("directory update");
         trunks.follow(router.pool());
         if (gap) {
             fetch();
@@ -119,16 +130,22 @@
     private static List<Pool.Server> servers(Update update, double now) {
         List<Pool.Server> servers = new ArrayList<>(update.getEntriesCount());
         for (Entry e : update.getEntriesList()) {
-            State state = switch (e.getState()) {
-                case RUNNING -> State.RUNNING;
-                case DRAINING -> State.DRAINING;
-                case GONE -> State.GONE;
-                default -> throw new IllegalArgumentException("server " + e.getServer() + " without a state");
-            };
+            State state =
+                    switch (e.getState()) {
+                        case RUNNING -> State.RUNNING;
+                        case DRAINING -> State.DRAINING;
+                        case GONE -> State.GONE;
+                        default -> throw new IllegalArgumentException("server " + e.getServer() + " without a state");
+                    };
             if (e.getServer().isEmpty() || state != State.GONE) {
                 damsonseam.config.Endpoint.of(e.getAddress());
             }
-            servers.add(new Pool.Server(e.getServer(), e.getNumber(), e.getAddress(), e.getPointCode(), state,
+            servers.add(new Pool.Server(
+                    e.getServer(),
+                    e.getNumber(),
+                    e.getAddress(),
+                    e.getPointCode(),
+                    state,
                     e.hasAgeMs() ? OptionalDouble.of(now - e.getAgeMs()) : OptionalDouble.empty()));
         }
         return servers;
--- a/src/main/java/damsonseam/front/DnsListener.java
+++ b/src/main/java/damsonseam/front/DnsListener.java
@@ -37,8 +37,14 @@
     private int taken;
     private boolean backlog;
 
-    DnsListener(Loop loop, EnumService service, Router router, FrontSettings settings, NumberPlan plan,
-            PlainQuestion.Suffix suffix, Supplier<Admission> admission) {
+    DnsListener(
+            Loop loop,
+            EnumService service,
+            Router router,
+            FrontSettings settings,
+            NumberPlan plan,
+            PlainQuestion.Suffix suffix,
+            Supplier<Admission> admission) {
         this.loop = loop;
         this.service = service;
         this.router = router;
@@ -48,7 +54,8 @@
         intake = new Intake(loop, settings, suffix, plan, admission.get(), load, queue, this::drain);
         Admission forStreams = admission.get();
         gate = (now, callClass, source) -> forStreams.decide(now, ranks.of(callClass), sender(source), load);
-        streams = new StreamListener(loop, service, router, gate, settings.limits().connections());
+        streams = new StreamListener(
+                loop, service, router, gate, settings.limits().connections());
     }
 
     /** Who asks, for a question that came from an address or over a connection. */
@@ -59,7 +66,7 @@
 
     /** Binds UDP and TCP to one port; with port 0 the system chooses one that is free for both. */
     void bind(InetSocketAddress at) throws IOException, InterruptedException {
-        for (int i = 1;; i++) {
+        for (int i = 1; ; i++) {
             InetSocketAddress chosen = intake.bind(at);
             try {
                 streams.bind(chosen);
--- a/src/main/java/damsonseam/front/FrontLoad.java
+++ b/src/main/java/damsonseam/front/FrontLoad.java
@@ -9,6 +9,7 @@
 final class FrontLoad implements Admission.Load {
     /** Weights of a new measurement of what a call costs: of a batch, and of a look at the processor time. */
     private static final double BATCH_WEIGHT = 0.05;
+
     private static final double LOOK_WEIGHT = 0.3;
     private static final double MOST_MORE = 4;
     /** Calls under which a look says nothing. */
--- a/src/main/java/damsonseam/front/FrontReport.java
+++ b/src/main/java/damsonseam/front/FrontReport.java
@@ -33,8 +33,30 @@
  * @param unanswered of these, without a final answer
  * @param heldRoom unanswered calls from which on the cheapest are refused
  */
-public record FrontReport(long taken, long stood, long refused, long failed, long setUps, long read, long repeated,
-        long tooOld, long queueFull, long[] offered, long[] turnedAway, double loopP50Ms, double loopP99Ms,
-        double loopMaxMs, double intakeP99Ms, double intakeMaxMs, double perCallUs, long loopOctetsPerCall,
-        double collectorMs, double heap, double cacheRoom, Map<Cause, Long> seconds,
-        double longestMomentMs, int open, int unanswered, double heldRoom) { }
+public record FrontReport(
+        long taken,
+        long stood,
+        long refused,
+        long failed,
+        long setUps,
+        long read,
+        long repeated,
+        long tooOld,
+        long queueFull,
+        long[] offered,
+        long[] turnedAway,
+        double loopP50Ms,
+        double loopP99Ms,
+        double loopMaxMs,
+        double intakeP99Ms,
+        double intakeMaxMs,
+        double perCallUs,
+        long loopOctetsPerCall,
+        double collectorMs,
+        double heap,
+        double cacheRoom,
+        Map<Cause, Long> seconds,
+        double longestMomentMs,
+        int open,
+        int unanswered,
+        double heldRoom) {}
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -65,8 +65,11 @@
     public record Parts(Function<Front.Actions, Front> module, Supplier<Admission> admission) {
         /** The project's own. */
         public static Parts own(FrontSettings settings) {
-            long seed = settings.front().seed() == null ? new SecureRandom().nextLong() : settings.front().seed();
-            return new Parts(actions -> new Decide(settings.forModule(seed), actions),
+            long seed = settings.front().seed() == null
+                    ? new SecureRandom().nextLong()
+                    : settings.front().seed();
+            return new Parts(
+                    actions -> new Decide(settings.forModule(seed), actions),
                     () -> new Gate(settings.levels(), settings.ranks().count(), seed));
         }
     }
@@ -78,38 +81,62 @@
         EventLoop eventLoop = (EventLoop) group.next();
         loop = new Loop(eventLoop, FrontSettings.BEAT);
         trunks = new TrunkLinks(loop, settings);
-        directory = new DirectoryClient(loop, settings.front().name(), settings.directory().address().socket());
-        List<InetSocketAddress> authorities = settings.upstream().authorities().stream().map(Endpoint::socket)
-                .toList();
+        directory = new DirectoryClient(
+                loop, settings.front().name(), settings.directory().address().socket());
+        List<InetSocketAddress> authorities =
+                settings.upstream().authorities().stream().map(Endpoint::socket).toList();
         sockets = new ResolverSockets(loop, authorities, settings.upstream().sockets());
         FrontSettings.Limits limits = settings.limits();
         Name suffix = E164Name.suffix(settings.enumeration().suffix());
-        Name zone = settings.upstream().suffix() == null ? suffix
+        Name zone = settings.upstream().suffix() == null
+                ? suffix
                 : E164Name.suffix(settings.upstream().suffix());
-        LookupCache cache = new LookupCache(limits.numbers(), settings.upstream().staleFor().ms());
-        resolver = new Resolver(zone, cache,
-                new Authorities(authorities.size()), loop.timers(), new SecureRandom().nextLong(),
-                new Resolver.Limits(settings.upstream().sockets(), settings.upstream().tries(),
-                        limits.lookups(), settings.upstream().staleAfter().ms()), sockets);
-        router = new Router(new RouterSettings(settings.forModule(0), limits.calls(), FrontSettings.BEAT,
-                settings.trunks().releaseWait().ms(), FrontSettings.SLACK), parts.module(),
+        LookupCache cache =
+                new LookupCache(limits.numbers(), settings.upstream().staleFor().ms());
+        resolver = new Resolver(
+                zone,
+                cache,
+                new Authorities(authorities.size()),
+                loop.timers(),
+                new SecureRandom().nextLong(),
+                new Resolver.Limits(
+                        settings.upstream().sockets(),
+                        settings.upstream().tries(),
+                        limits.lookups(),
+                        settings.upstream().staleAfter().ms()),
+                sockets);
+        router = new Router(
+                new RouterSettings(
+                        settings.forModule(0),
+                        limits.calls(),
+                        FrontSettings.BEAT,
+                        settings.trunks().releaseWait().ms(),
+                        FrontSettings.SLACK),
+                parts.module(),
                 new CallTable(limits.calls(), System.currentTimeMillis() / 1000),
-                loop.timers(), (call, number, deadline) -> {
+                loop.timers(),
+                (call, number, deadline) -> {
                     resolver.clock(loop.now());
                     resolver.lookUp(call, number, deadline);
-                }, trunks, directory, logCalls ? new CallLog(settings.front().name()) : Story.NONE);
+                },
+                trunks,
+                directory,
+                logCalls ? new CallLog(settings.front().name()) : Story.NONE);
         NumberPlan plan = settings.plan();
-        service = new EnumService(suffix, plan, router,
-                new Transactions(limits.questions(), settings.enumeration().keepAnswers().ms()),
+        service = new EnumService(
+                suffix,
+                plan,
+                router,
+                new Transactions(
+                        limits.questions(), settings.enumeration().keepAnswers().ms()),
                 settings.enumeration().wayBack().ms());
-        listener = new DnsListener(loop, service, router, settings, plan, new PlainQuestion.Suffix(suffix),
-                parts.admission());
+        listener = new DnsListener(
+                loop, service, router, settings, plan, new PlainQuestion.Suffix(suffix), parts.admission());
         watch = new SelfWatch(settings, router, resolver, cache, listener.load());
     }
 
     /** Starts a front; its module decides. Returns when its DNS port is open. */
-    public static FrontServer start(FrontSettings settings, boolean logCalls)
-            throws IOException, InterruptedException {
+    public static FrontServer start(FrontSettings settings, boolean logCalls) throws IOException, InterruptedException {
         return start(settings, Parts.own(settings), logCalls);
     }
 
@@ -133,22 +160,26 @@
         loop.eventLoop().execute(() -> {
             directory.start(router, trunks);
             watch.start();
-            loop.start(() -> {
-                watch.beat(loop.now());
-                router.beat(loop.now());
-                trunks.flush();
-                listener.intake().flush();
-            }, () -> {
-                resolver.deliver(loop.now());
-                double before = loop.now();
-                router.settle(before);
-                watch.moment(before, loop.now() - before);
-                trunks.flush();
-                listener.intake().flush();
-            });
+            loop.start(
+                    () -> {
+                        watch.beat(loop.now());
+                        router.beat(loop.now());
+                        trunks.flush();
+                        listener.intake().flush();
+                    },
+                    () -> {
+                        resolver.deliver(loop.now());
+                        double before = loop.now();
+                        router.settle(before);
+                        watch.moment(before, loop.now() - before);
+                        trunks.flush();
+                        listener.intake().flush();
+                    });
         });
-        LOG.atInfo().addKeyValue("front", settings.front().name())
-                .addKeyValue("enum", enumAddress().toString()).log("front started");
+        LOG.atInfo()
+                .addKeyValue("front", settings.front().name())
+                .addKeyValue("enum", enumAddress().toString())
+                .log("front started");
     }
 
     /** Where callers ask. */
@@ -195,12 +226,33 @@
             LoopGauge loopGauge = watch.gauge();
             LoopGauge intakeGauge = listener.intake().gauge();
             Vitals.Sample sample = watch.sample();
-            return new FrontReport(c.taken, c.stood, c.refused, c.failed, c.setUps, in.read, in.repeated, in.tooOld,
-                    in.queueFull, in.offered, in.refused, loopGauge.percentile(50), loopGauge.percentile(99),
-                    loopGauge.most(), intakeGauge.percentile(99), intakeGauge.most(),
-                    listener.load().perCall() * 1_000, sample.loopOctets() / Math.max(1, c.taken),
-                    sample.pausedMs(), sample.heap(), watch.cacheRoom(), watch.seconds(), watch.longestMoment(),
-                    router.open(), router.owed(), watch.heldRoom());
+            return new FrontReport(
+                    c.taken,
+                    c.stood,
+                    c.refused,
+                    c.failed,
+                    c.setUps,
+                    in.read,
+                    in.repeated,
+                    in.tooOld,
+                    in.queueFull,
+                    in.offered,
+                    in.refused,
+                    loopGauge.percentile(50),
+                    loopGauge.percentile(99),
+                    loopGauge.most(),
+                    intakeGauge.percentile(99),
+                    intakeGauge.most(),
+                    listener.load().perCall() * 1_000,
+                    sample.loopOctets() / Math.max(1, c.taken),
+                    sample.pausedMs(),
+                    sample.heap(),
+                    watch.cacheRoom(),
+                    watch.seconds(),
+                    watch.longestMoment(),
+                    router.open(),
+                    router.owed(),
+                    watch.heldRoom());
         });
     }
 
--- a/src/main/java/damsonseam/front/Intake.java
+++ b/src/main/java/damsonseam/front/Intake.java
@@ -56,6 +56,7 @@
     private static final int SEND_BUFFER = 1 << 20;
     /** Answers of the loop that may wait for this thread; one more is handed over by itself. */
     private static final int ANSWERS = 1 << 14;
+
     private static final int NONCE = 16;
     /** Decided: told that its time was over when it was read. */
     private static final long TOO_OLD = Long.MAX_VALUE;
@@ -110,8 +111,15 @@
     }
 
     /** What an intake works with; {@code drain} is run by the loop when there is something in the queue. */
-    Intake(Loop loop, FrontSettings settings, PlainQuestion.Suffix suffix, NumberPlan plan, Admission admission,
-            FrontLoad load, CallQueue queue, Runnable drain) {
+    Intake(
+            Loop loop,
+            FrontSettings settings,
+            PlainQuestion.Suffix suffix,
+            NumberPlan plan,
+            Admission admission,
+            FrontLoad load,
+            CallQueue queue,
+            Runnable drain) {
         this.loop = loop;
         this.suffix = suffix;
         this.plan = plan;
@@ -120,8 +128,12 @@
         this.load = load;
         this.queue = queue;
         wayBack = settings.enumeration().wayBack().ms();
-        double patience = settings.numbers().stream().mapToDouble(n -> n.patience().ms()).max().orElse(0);
-        remembered = new Remembered(patience + settings.enumeration().keepAnswers().ms(),
+        double patience = settings.numbers().stream()
+                .mapToDouble(n -> n.patience().ms())
+                .max()
+                .orElse(0);
+        remembered = new Remembered(
+                patience + settings.enumeration().keepAnswers().ms(),
                 settings.limits().questions());
         counts = new Counts(ranks.count());
         fullAdvice = Math.round(settings.fleet().maxReturnAdvice().ms());
@@ -134,31 +146,42 @@
     /** Binds the socket; reading starts with {@link #start}. */
     InetSocketAddress bind(InetSocketAddress at) throws IOException, InterruptedException {
         DatagramChannel opened = DatagramChannel.open();
-        Bootstrap bootstrap = new Bootstrap().group(thread).channelFactory(() -> new NioDatagramChannel(opened))
-                .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER).option(ChannelOption.SO_SNDBUF, SEND_BUFFER)
-                .option(ChannelOption.RECVBUF_ALLOCATOR,
+        Bootstrap bootstrap = new Bootstrap()
+                .group(thread)
+                .channelFactory(() -> new NioDatagramChannel(opened))
+                .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER)
+                .option(ChannelOption.SO_SNDBUF, SEND_BUFFER)
+                .option(
+                        ChannelOption.RECVBUF_ALLOCATOR,
                         new FixedRecvByteBufAllocator(UDP_OCTETS).maxMessagesPerRead(READ_AT_ONCE))
-                .option(ChannelOption.AUTO_READ, false).handler(new Handler());
+                .option(ChannelOption.AUTO_READ, false)
+                .handler(new Handler());
         var bound = bootstrap.bind(at).await();
         if (!bound.isSuccess()) {
-            throw new BindException("DNS over UDP on " + at + ": " + bound.cause().getMessage());
+            throw new BindException(
+                    "DNS over UDP on " + at + ": " + bound.cause().getMessage());
         }
         socket = bound.channel();
         direct = opened;
         InetSocketAddress chosen = (InetSocketAddress) socket.localAddress();
         self = chosen.getAddress().isAnyLocalAddress()
-                ? new InetSocketAddress(InetAddress.getLoopbackAddress(), chosen.getPort()) : chosen;
+                ? new InetSocketAddress(InetAddress.getLoopbackAddress(), chosen.getPort())
+                : chosen;
         return chosen;
     }
 
     /** Starts reading. */
     void start() {
         long every = (long) (FrontSettings.BEAT * 1_000_000);
-        thread.scheduleWithFixedDelay(() -> {
-            double now = loop.now();
-            gauge.beat(now);
-            socket.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(age.marker(now)), self));
-        }, 0, every, TimeUnit.NANOSECONDS);
+        thread.scheduleWithFixedDelay(
+                () -> {
+                    double now = loop.now();
+                    gauge.beat(now);
+                    socket.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(age.marker(now)), self));
+                },
+                0,
+                every,
+                TimeUnit.NANOSECONDS);
         socket.config().setAutoRead(true);
     }
 
@@ -182,7 +205,10 @@
             }
         } catch (IOException e) {
             // Nobody can be reached there, or the front is closing: the answer is lost, as datagrams may be.
-            LOG.atInfo().addKeyValue("to", to.toString()).addKeyValue("error", e.toString()).log("answer not sent");
+            LOG.atInfo()
+                    .addKeyValue("to", to.toString())
+                    .addKeyValue("error", e.toString())
+                    .log("answer not sent");
             return;
         }
         DatagramPacket packet = new DatagramPacket(Unpooled.wrappedBuffer(octets), to);
@@ -245,7 +271,8 @@
         if (entry == null) {
             counts.theLongWay++;
             if (!hand(0, new CallQueue.Waiting(from, null, null, octets, now, age.age(now)))
-                    && octets.length >= DnsCodec.HEADER && !DnsCodec.isAnswer(octets)) {
+                    && octets.length >= DnsCodec.HEADER
+                    && !DnsCodec.isAnswer(octets)) {
                 send(ctx, from, EnumReplies.refused(octets));
             }
             return;
@@ -266,8 +293,8 @@
             return;
         }
         counts.offered[rank]++;
-        double patience = plain.hints().time() > 0 ? Math.min(plain.hints().time(), entry.patience())
-                : entry.patience();
+        double patience =
+                plain.hints().time() > 0 ? Math.min(plain.hints().time(), entry.patience()) : entry.patience();
         if (waiting.age() > patience - wayBack - FrontSettings.SLACK) {
             // Its caller has gone, or will have before the answer is there: told so at once, and not set up.
             counts.tooOld++;
@@ -291,8 +318,12 @@
 
     private void refuse(ChannelHandlerContext ctx, CallQueue.Waiting question, long advice) {
         PlainQuestion asked = question.plain();
-        send(ctx, question.from(), advice == TOO_OLD ? PlainReply.failed(asked, "waited unread too long", asked.limit())
-                : PlainReply.refused(asked, advice, EnumService.BUSY, asked.limit()));
+        send(
+                ctx,
+                question.from(),
+                advice == TOO_OLD
+                        ? PlainReply.failed(asked, "waited unread too long", asked.limit())
+                        : PlainReply.refused(asked, advice, EnumService.BUSY, asked.limit()));
     }
 
     private static void send(ChannelHandlerContext ctx, InetSocketAddress to, byte[] octets) {
