--- a/src/main/java/damsonseam/front/ResolverSockets.java
+++ b/src/main/java/damsonseam/front/ResolverSockets.java
@@ -43,11 +43,12 @@
         this.loop = loop;
         this.authorities = authorities;
         sockets = new Channel[count];
-        InetAddress any = authorities.get(0).getAddress().isLoopbackAddress()
-                ? InetAddress.getLoopbackAddress() : null;
+        InetAddress any = authorities.get(0).getAddress().isLoopbackAddress() ? InetAddress.getLoopbackAddress() : null;
         for (int i = 0; i < count; i++) {
             int number = i;
-            sockets[i] = new Bootstrap().group(loop.eventLoop()).channel(NioDatagramChannel.class)
+            sockets[i] = new Bootstrap()
+                    .group(loop.eventLoop())
+                    .channel(NioDatagramChannel.class)
                     .option(ChannelOption.SO_RCVBUF, 1 << 20)
                     .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                         @Override
@@ -62,7 +63,10 @@
                         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
                             // An authority's port is closed: its silence tells the resolver.
                         }
-                    }).bind(new InetSocketAddress(any, 0)).sync().channel();
+                    })
+                    .bind(new InetSocketAddress(any, 0))
+                    .sync()
+                    .channel();
         }
     }
 
@@ -78,8 +82,7 @@
 
     @Override
     public void udp(int authority, int socket, byte[] question) {
-        sockets[socket].writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(question),
-                authorities.get(authority)));
+        sockets[socket].writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(question), authorities.get(authority)));
     }
 
     @Override
@@ -88,17 +91,24 @@
             return;
         }
         streams++;
-        new Bootstrap().group(loop.eventLoop()).channel(NioSocketChannel.class)
+        new Bootstrap()
+                .group(loop.eventLoop())
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, STREAM_TIMEOUT_S * 1_000)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         channel.closeFuture().addListener(f -> streams--);
-                        channel.pipeline().addLast(new ReadTimeoutHandler(STREAM_TIMEOUT_S),
-                                new LengthFieldBasedFrameDecoder(TCP_OCTETS, 0, LENGTH_OCTETS, 0, LENGTH_OCTETS),
-                                new LengthFieldPrepender(LENGTH_OCTETS), new StreamHandler(authority, question));
+                        channel.pipeline()
+                                .addLast(
+                                        new ReadTimeoutHandler(STREAM_TIMEOUT_S),
+                                        new LengthFieldBasedFrameDecoder(
+                                                TCP_OCTETS, 0, LENGTH_OCTETS, 0, LENGTH_OCTETS),
+                                        new LengthFieldPrepender(LENGTH_OCTETS),
+                                        new StreamHandler(authority, question));
                     }
-                }).connect(authorities.get(authority));
+                })
+                .connect(authorities.get(authority));
     }
 
     @Override
--- a/src/main/java/damsonseam/front/SelfWatch.java
+++ b/src/main/java/damsonseam/front/SelfWatch.java
@@ -94,9 +94,12 @@
         takenAtLook = taken;
         cacheRoom = memory.cacheRoom(now);
         cache.room(cacheRoom);
-        tablePressure = Math.max(memory.pressure(ranks.count()), tables.pressure(
-                router.open() / (double) settings.limits().calls(),
-                resolver.out() / (double) settings.limits().lookups(), sample.files()));
+        tablePressure = Math.max(
+                memory.pressure(ranks.count()),
+                tables.pressure(
+                        router.open() / (double) settings.limits().calls(),
+                        resolver.out() / (double) settings.limits().lookups(),
+                        sample.files()));
         if (Double.isNaN(diagnoseAt)) {
             diagnoseAt = now + DIAGNOSE_EVERY;
             before = sample;
@@ -109,18 +112,25 @@
         Counters counters = router.counters();
         long setUps = counters.setUps - setUpsBefore;
         long late = counters.timedOut - lateBefore;
-        Diagnosis.Window window = new Diagnosis.Window(gauge.takeLongest(), sample.loopCpuMs() - before.loopCpuMs(),
-                sample.pausedMs() - before.pausedMs(), setUps == 0 ? 0 : late / (double) setUps);
+        Diagnosis.Window window = new Diagnosis.Window(
+                gauge.takeLongest(),
+                sample.loopCpuMs() - before.loopCpuMs(),
+                sample.pausedMs() - before.pausedMs(),
+                setUps == 0 ? 0 : late / (double) setUps);
         Cause found = Diagnosis.of(window, levels.delayCeiling());
         seconds.merge(found, 1L, Long::sum);
         if (found != cause) {
-            (found == Cause.CALM ? LOG.atInfo() : LOG.atWarn()).addKeyValue("front", front)
-                    .addKeyValue("state", found.toString()).addKeyValue("delayMs", Math.round(window.delay()))
+            (found == Cause.CALM ? LOG.atInfo() : LOG.atWarn())
+                    .addKeyValue("front", front)
+                    .addKeyValue("state", found.toString())
+                    .addKeyValue("delayMs", Math.round(window.delay()))
                     .addKeyValue("loopCpuMs", Math.round(window.loopCpu()))
                     .addKeyValue("collectorMs", Math.round(window.collector()))
                     .addKeyValue("momentMs", Math.round(momentInWindow))
-                    .addKeyValue("heap", sample.heap()).addKeyValue("cpu", sample.cpu())
-                    .addKeyValue("perCallUs", Math.round(load.perCall() * 1_000)).log("front state");
+                    .addKeyValue("heap", sample.heap())
+                    .addKeyValue("cpu", sample.cpu())
+                    .addKeyValue("perCallUs", Math.round(load.perCall() * 1_000))
+                    .log("front state");
             cause = found;
         }
         momentInWindow = 0;
--- a/src/main/java/damsonseam/front/StreamListener.java
+++ b/src/main/java/damsonseam/front/StreamListener.java
@@ -56,6 +56,7 @@
     private final Set<Channel> all = new LinkedHashSet<>();
     /** Connections without an open question, the longest idle first. */
     private final Set<Channel> idle = new LinkedHashSet<>();
+
     private Channel server;
 
     StreamListener(Loop loop, EnumService service, Router router, EnumService.Gate gate, int most) {
@@ -68,19 +69,27 @@
 
     void bind(InetSocketAddress at) throws IOException, InterruptedException {
         EventLoop eventLoop = loop.eventLoop();
-        var bound = new ServerBootstrap().group(eventLoop, eventLoop).channel(NioServerSocketChannel.class)
+        var bound = new ServerBootstrap()
+                .group(eventLoop, eventLoop)
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new IdleStateHandler(0, 0, IDLE_S),
-                                new LengthFieldBasedFrameDecoder(OCTETS, 0, LENGTH_OCTETS, 0, LENGTH_OCTETS),
-                                new LengthFieldPrepender(LENGTH_OCTETS), new Handler());
+                        channel.pipeline()
+                                .addLast(
+                                        new IdleStateHandler(0, 0, IDLE_S),
+                                        new LengthFieldBasedFrameDecoder(OCTETS, 0, LENGTH_OCTETS, 0, LENGTH_OCTETS),
+                                        new LengthFieldPrepender(LENGTH_OCTETS),
+                                        new Handler());
                     }
-                }).bind(at).await();
+                })
+                .bind(at)
+                .await();
         if (!bound.isSuccess()) {
-            throw new BindException("DNS over TCP on " + at + ": " + bound.cause().getMessage());
+            throw new BindException(
+                    "DNS over TCP on " + at + ": " + bound.cause().getMessage());
         }
         server = bound.channel();
     }
@@ -127,8 +136,14 @@
             idle.remove(ctx.channel());
             CallRecord[] opened = new CallRecord[1];
             boolean[] answered = new boolean[1];
-            opened[0] = service.question(loop.now(), ctx.channel(), true, router.turnAge(loop.now()),
-                    ByteBufUtil.getBytes(frame), gate, answer -> {
+            opened[0] = service.question(
+                    loop.now(),
+                    ctx.channel(),
+                    true,
+                    router.turnAge(loop.now()),
+                    ByteBufUtil.getBytes(frame),
+                    gate,
+                    answer -> {
                         answered[0] = true;
                         ctx.writeAndFlush(Unpooled.wrappedBuffer(answer));
                         if (opened[0] != null) {
@@ -145,7 +160,9 @@
 
         /** Reads on where that does no harm; a connection without open questions may have to make way. */
         private void rest(ChannelHandlerContext ctx) {
-            ctx.channel().config().setAutoRead(open.size() < MOST_OPEN && ctx.channel().isWritable());
+            ctx.channel()
+                    .config()
+                    .setAutoRead(open.size() < MOST_OPEN && ctx.channel().isWritable());
             if (open.isEmpty() && all.contains(ctx.channel())) {
                 idle.add(ctx.channel());
             }
@@ -156,12 +173,17 @@
             rest(ctx);
             if (!ctx.channel().isWritable()) {
                 long had = ctx.channel().bytesBeforeWritable();
-                ctx.executor().schedule(() -> {
-                    if (ctx.channel().isActive() && !ctx.channel().isWritable()
-                            && ctx.channel().bytesBeforeWritable() >= had) {
-                        ctx.close();
-                    }
-                }, SLOW_MS, TimeUnit.MILLISECONDS);
+                ctx.executor()
+                        .schedule(
+                                () -> {
+                                    if (ctx.channel().isActive()
+                                            && !ctx.channel().isWritable()
+                                            && ctx.channel().bytesBeforeWritable() >= had) {
+                                        ctx.close();
+                                    }
+                                },
+                                SLOW_MS,
+                                TimeUnit.MILLISECONDS);
             }
             ctx.fireChannelWritabilityChanged();
         }
--- a/src/main/java/damsonseam/front/TrunkLink.java
+++ b/src/main/java/damsonseam/front/TrunkLink.java
@@ -63,10 +63,19 @@
         FrontSettings.Trunks t = settings.trunks();
         int own = settings.front().pointCode();
         Output output = new Output();
-        session = new AspSession(output, loop.timers(), own, server.pointCode(), t.probeTimeout().ms(),
+        session = new AspSession(
+                output,
+                loop.timers(),
+                own,
+                server.pointCode(),
+                t.probeTimeout().ms(),
                 t.heartbeat().ms());
-        group = new TrunkGroup(new Circuits(t.circuits(), own > server.pointCode()), loop.timers(),
-                new TrunkGroup.Times(t.t1().ms(), t.t5().ms(), t.t17().ms()), own, output);
+        group = new TrunkGroup(
+                new Circuits(t.circuits(), own > server.pointCode()),
+                loop.timers(),
+                new TrunkGroup.Times(t.t1().ms(), t.t5().ms(), t.t17().ms()),
+                own,
+                output);
         connect();
     }
 
@@ -135,18 +144,25 @@
     }
 
     private void connect() {
-        ChannelFuture made = new Bootstrap().group(loop.eventLoop()).channel(NioSocketChannel.class)
+        ChannelFuture made = new Bootstrap()
+                .group(loop.eventLoop())
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) settings.trunks().connectTimeout().ms())
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK,
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
+                        settings.trunks().connectTimeout().ms())
+                .option(
+                        ChannelOption.WRITE_BUFFER_WATER_MARK,
                         new io.netty.channel.WriteBufferWaterMark(MOST_UNSENT / 2, MOST_UNSENT))
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel made) {
-                        made.pipeline().addLast(new LengthFieldBasedFrameDecoder(M3ua.MOST, 4, 4, -M3ua.HEADER, 0),
-                                new Handler());
+                        made.pipeline()
+                                .addLast(
+                                        new LengthFieldBasedFrameDecoder(M3ua.MOST, 4, 4, -M3ua.HEADER, 0),
+                                        new Handler());
                     }
-                }).connect(damsonseam.config.Endpoint.of(server.address()).socket());
+                })
+                .connect(damsonseam.config.Endpoint.of(server.address()).socket());
         made.addListener(f -> {
             if (!f.isSuccess()) {
                 again();
@@ -171,7 +187,8 @@
     /** Octets of a DATA whose ISUP can't be read still name their circuit. */
     private void isup(double now, ProtocolData data) {
         try {
-            if (data.opc() == server.pointCode() && data.dpc() == settings.front().pointCode()) {
+            if (data.opc() == server.pointCode()
+                    && data.dpc() == settings.front().pointCode()) {
                 group.received(now, Isup.decode(data.isup()));
             } else {
                 badMessages++;
@@ -195,14 +212,21 @@
 
         @Override
         public void send(Isup message) {
-            send(new ProtocolData(settings.front().pointCode(), server.pointCode(), message.circuit() & 0x0f,
-                    message.encode()).message());
+            send(new ProtocolData(
+                            settings.front().pointCode(),
+                            server.pointCode(),
+                            message.circuit() & 0x0f,
+                            message.encode())
+                    .message());
         }
 
         @Override
         public void close(String why) {
-            LOG.atWarn().addKeyValue("server", server.id()).addKeyValue("why", why)
-                    .addKeyValue("badMessages", badMessages).addKeyValue("confused", group.confused())
+            LOG.atWarn()
+                    .addKeyValue("server", server.id())
+                    .addKeyValue("why", why)
+                    .addKeyValue("badMessages", badMessages)
+                    .addKeyValue("confused", group.confused())
                     .log("signalling closed");
             closeHere();
         }
@@ -216,8 +240,11 @@
 
         @Override
         public void destination(boolean reachable, int congestionLevel) {
-            LOG.atInfo().addKeyValue("server", server.id()).addKeyValue("reachable", reachable)
-                    .addKeyValue("congestion", congestionLevel).log("destination");
+            LOG.atInfo()
+                    .addKeyValue("server", server.id())
+                    .addKeyValue("reachable", reachable)
+                    .addKeyValue("congestion", congestionLevel)
+                    .log("destination");
         }
 
         @Override
@@ -237,8 +264,14 @@
         }
 
         @Override
-        public void ended(double now, long call, int attempt, Result result, Reason reason,
-                OptionalDouble toldWait, Report report) {
+        public void ended(
+                double now,
+                long call,
+                int attempt,
+                Result result,
+                Reason reason,
+                OptionalDouble toldWait,
+                Report report) {
             if (closedHere) {
                 loop.timers().set(now + settings.trunks().releaseWait().ms(), at -> {
                     router.ended(at, call, attempt, result, reason, toldWait, report);
@@ -277,7 +310,8 @@
             } catch (SignallingException e) {
                 // The frame is told back and passed over; the connection is still in step (RFC 4666 4.8).
                 badMessages++;
-                ctx.writeAndFlush(Unpooled.wrappedBuffer(M3ua.error(e.code(), octets).encode()));
+                ctx.writeAndFlush(
+                        Unpooled.wrappedBuffer(M3ua.error(e.code(), octets).encode()));
             }
             closeIfIdle();
             loop.kick();
@@ -297,7 +331,9 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             // A length that can't be: where the next frame starts is not known any more.
-            LOG.atWarn().addKeyValue("server", server.id()).addKeyValue("error", cause.toString())
+            LOG.atWarn()
+                    .addKeyValue("server", server.id())
+                    .addKeyValue("error", cause.toString())
                     .log("signalling connection");
             closeHere();
         }
--- a/src/main/java/damsonseam/front/TrunkLinks.java
+++ b/src/main/java/damsonseam/front/TrunkLinks.java
@@ -20,6 +20,7 @@
 final class TrunkLinks implements Ports.Trunks {
     /** Calling party's category: ordinary subscriber (Q.763 3.11). */
     private static final int ORDINARY = 0x0a;
+
     private static final Ports.NotSent UNREACHABLE = new Ports.NotSent(Result.UNREACHABLE, Reason.NONE);
     private static final Ports.NotSent NO_LINE = new Ports.NotSent(Result.FULL, Reason.NO_LINE);
 
@@ -93,8 +94,11 @@
 
     /** Whether every running server of the list can be sent to. */
     boolean ready() {
-        return !links.isEmpty() && router.pool().servers().stream().filter(s -> s.state() == State.RUNNING)
-                .allMatch(s -> links.containsKey(s.id()) && links.get(s.id()).usable());
+        return !links.isEmpty()
+                && router.pool().servers().stream()
+                        .filter(s -> s.state() == State.RUNNING)
+                        .allMatch(s ->
+                                links.containsKey(s.id()) && links.get(s.id()).usable());
     }
 
     void close() {
--- a/src/main/java/damsonseam/front/Vitals.java
+++ b/src/main/java/damsonseam/front/Vitals.java
@@ -29,11 +29,12 @@
     private static final long EVERY_MS = 100;
     private static final int LOOKS_PER_FILE_LOOK = 10;
     private static final Set<String> HEAP_POOLS = ManagementFactory.getMemoryPoolMXBeans().stream()
-            .filter(p -> p.getType() == MemoryType.HEAP).map(p -> p.getName()).collect(Collectors.toSet());
+            .filter(p -> p.getType() == MemoryType.HEAP)
+            .map(p -> p.getName())
+            .collect(Collectors.toSet());
 
     private final ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-    private final OperatingSystemMXBean system =
-            (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
+    private final OperatingSystemMXBean system = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
     private final AtomicLong pausedMs = new AtomicLong();
     private final NotificationListener listener = (notification, handback) -> {
         if (notification.getType().equals(GarbageCollectionNotificationInfo.GARBAGE_COLLECTION_NOTIFICATION)) {
@@ -49,6 +50,7 @@
     private volatile double heap;
     /** Written by the thread of notifications alone. */
     private volatile long collections;
+
     private volatile Sample last = new Sample(0, 0, 0, 0, 0, 0, 0);
     private int looks;
     private double files;
@@ -64,8 +66,14 @@
      * @param cpu share of the machine's processors that the program uses
      * @param files share of the files that it may open
      */
-    record Sample(double heap, long collections, double pausedMs, double loopCpuMs, long loopOctets, double cpu,
-            double files) { }
+    record Sample(
+            double heap,
+            long collections,
+            double pausedMs,
+            double loopCpuMs,
+            long loopOctets,
+            double cpu,
+            double files) {}
 
     /** Starts looking. */
     void start(long loopThreadId) {
@@ -79,7 +87,8 @@
     private void collected(GarbageCollectionNotificationInfo info) {
         pausedMs.addAndGet(info.getGcInfo().getDuration());
         long used = 0;
-        for (Map.Entry<String, MemoryUsage> pool : info.getGcInfo().getMemoryUsageAfterGc().entrySet()) {
+        for (Map.Entry<String, MemoryUsage> pool :
+                info.getGcInfo().getMemoryUsageAfterGc().entrySet()) {
             used += HEAP_POOLS.contains(pool.getKey()) ? pool.getValue().getUsed() : 0;
         }
         heap = used / (double) Runtime.getRuntime().maxMemory();
@@ -91,8 +100,14 @@
             // Counting them reads a folder of the system's, so not each time.
             files = unix.getOpenFileDescriptorCount() / (double) unix.getMaxFileDescriptorCount();
         }
-        last = new Sample(heap, collections, pausedMs.get(), threads.getThreadCpuTime(loopThread) / 1e6,
-                threads.getThreadAllocatedBytes(loopThread), system.getProcessCpuLoad(), files);
+        last = new Sample(
+                heap,
+                collections,
+                pausedMs.get(),
+                threads.getThreadCpuTime(loopThread) / 1e6,
+                threads.getThreadAllocatedBytes(loopThread),
+                system.getProcessCpuLoad(),
+                files);
     }
 
     /** The last look. */
--- a/src/main/java/damsonseam/load/Load.java
+++ b/src/main/java/damsonseam/load/Load.java
@@ -10,7 +10,7 @@
     private static final double FEWEST_STAND = 0.99;
     private static final long START_NS = 20_000_000;
 
-    private Load() { }
+    private Load() {}
 
     /** Runs one load to its end, the patience of its last callers included. */
     public static LoadResult run(LoadPlan plan) throws IOException, InterruptedException {
@@ -61,8 +61,7 @@
         return good;
     }
 
-    private static boolean holds(LoadPlan plan, double perS, double seconds)
-            throws IOException, InterruptedException {
+    private static boolean holds(LoadPlan plan, double perS, double seconds) throws IOException, InterruptedException {
         LoadResult result = run(plan.with(Profile.steady(perS), seconds + 1));
         return result.stood(-1, 1, seconds + 1) >= FEWEST_STAND * result.offered(-1, 1, seconds + 1);
     }
--- a/src/main/java/damsonseam/load/LoadPlan.java
+++ b/src/main/java/damsonseam/load/LoadPlan.java
@@ -17,8 +17,17 @@
  * @param known numbers of each kind that are called again and again
  * @param first first-choice calculators that the numbers name, 1 to 100
  */
-public record LoadPlan(List<InetSocketAddress> to, String suffix, List<Kind> kinds, Profile profile, double seconds,
-        long seed, int threads, int senders, int known, int first) {
+public record LoadPlan(
+        List<InetSocketAddress> to,
+        String suffix,
+        List<Kind> kinds,
+        Profile profile,
+        double seconds,
+        long seed,
+        int threads,
+        int senders,
+        int known,
+        int first) {
 
     /** Checks. */
     public LoadPlan {
@@ -47,6 +56,12 @@
      * @param worth of a call that stands in its aim
      * @param lateShare part of the worth of one that stands later
      */
-    public record Kind(String name, String prefix, double share, double aimMs, double patienceMs, double worth,
-            double lateShare) { }
+    public record Kind(
+            String name,
+            String prefix,
+            double share,
+            double aimMs,
+            double patienceMs,
+            double worth,
+            double lateShare) {}
 }
--- a/src/main/java/damsonseam/load/LoadPlot.java
+++ b/src/main/java/damsonseam/load/LoadPlot.java
@@ -14,12 +14,17 @@
 public final class LoadPlot {
     private static final double WINDOW_S = 0.5;
 
-    private LoadPlot() { }
+    private LoadPlot() {}
 
     /** Writes a PNG. */
     public static void write(LoadResult result, String title, Path file) throws IOException {
-        XYChart chart = new XYChartBuilder().width(1_100).height(520).title(title).xAxisTitle("seconds")
-                .yAxisTitle("calls a second").build();
+        XYChart chart = new XYChartBuilder()
+                .width(1_100)
+                .height(520)
+                .title(title)
+                .xAxisTitle("seconds")
+                .yAxisTitle("calls a second")
+                .build();
         chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideE);
         chart.getStyler().setYAxisLogarithmic(true);
         for (int k = 0; k < result.kinds().size(); k++) {
--- a/src/main/java/damsonseam/load/LoadResult.java
+++ b/src/main/java/damsonseam/load/LoadResult.java
@@ -13,16 +13,24 @@
 public final class LoadResult {
     /** Length of a slice of the series, in milliseconds. */
     public static final int SLICE_MS = 100;
+
     private static final long MOST_US = 60_000_000L;
 
     /** What became of a call. */
-    public enum End { IN_AIM, LATE, REFUSED, FAILED, UNANSWERED }
+    public enum End {
+        IN_AIM,
+        LATE,
+        REFUSED,
+        FAILED,
+        UNANSWERED
+    }
 
     private final List<LoadPlan.Kind> kinds;
     private final List<Histogram> stood = new ArrayList<>();
     private final Histogram answered = new Histogram(MOST_US, 3);
     /** Counts by kind, slice of the due time, and end. */
     private final long[][][] slices;
+
     private long sentLate;
 
     LoadResult(List<LoadPlan.Kind> kinds, double seconds) {
@@ -93,8 +101,8 @@
         for (int k = 0; k < kinds.size(); k++) {
             LoadPlan.Kind kind = kinds.get(k);
             offered += kind.worth() * offered(k, from, until);
-            earned += kind.worth() * (count(k, End.IN_AIM, from, until)
-                    + kind.lateShare() * count(k, End.LATE, from, until));
+            earned += kind.worth()
+                    * (count(k, End.IN_AIM, from, until) + kind.lateShare() * count(k, End.LATE, from, until));
         }
         return offered == 0 ? 1 : earned / offered;
     }
--- a/src/main/java/damsonseam/load/LoadSender.java
+++ b/src/main/java/damsonseam/load/LoadSender.java
@@ -28,6 +28,7 @@
     private static final int IDS = 1 << 16;
     /** Questions out on one socket at most, well below the ids, so that an id does not come back too soon. */
     private static final int OUT_PER_SOCKET = 20_000;
+
     private static final int MOST_SOCKETS = 64;
     private static final int SENT_AT_ONCE = 32;
     private static final int BUFFER = 4 << 20;
@@ -71,7 +72,10 @@
         origin = originNs;
         random = new SplittableRandom(plan.seed() * 31 + ordinal);
         result = new LoadResult(plan.kinds(), plan.seconds());
-        mostPatience = plan.kinds().stream().mapToDouble(LoadPlan.Kind::patienceMs).max().orElse(1);
+        mostPatience = plan.kinds().stream()
+                .mapToDouble(LoadPlan.Kind::patienceMs)
+                .max()
+                .orElse(1);
         shares = plan.kinds().stream().mapToDouble(LoadPlan.Kind::share).sum();
         double out = peakPerS * part * mostPatience / 1_000;
         int count = (int) Math.max(1, Math.min(MOST_SOCKETS, Math.ceil(out / OUT_PER_SOCKET)));
@@ -93,10 +97,20 @@
 
     private byte[] template(LoadPlan.Kind kind) {
         Message question = new Message(0);
-        question.addRecord(Record.newRecord(E164Name.of(kind.prefix() + "0".repeat(TAIL_DIGITS),
-                E164Name.suffix(plan.suffix())), Type.NAPTR, DClass.IN), Section.QUESTION);
-        question.addRecord(new OPTRecord(DnsCodec.SAFE_UDP, 0, 0, 0, List.of(new CallHints(false,
-                Math.round(kind.patienceMs())).option())), Section.ADDITIONAL);
+        question.addRecord(
+                Record.newRecord(
+                        E164Name.of(kind.prefix() + "0".repeat(TAIL_DIGITS), E164Name.suffix(plan.suffix())),
+                        Type.NAPTR,
+                        DClass.IN),
+                Section.QUESTION);
+        question.addRecord(
+                new OPTRecord(
+                        DnsCodec.SAFE_UDP,
+                        0,
+                        0,
+                        0,
+                        List.of(new CallHints(false, Math.round(kind.patienceMs())).option())),
+                Section.ADDITIONAL);
         return question.toWire();
     }
 
@@ -234,8 +248,13 @@
         int rcode = in.get(3) & 0xf;
         boolean stands = rcode == 0 && in.getShort(6) > 0;
         boolean inAim = now - s.dueAt[id] <= plan.kinds().get(s.kind[id]).aimMs();
-        end(s, id, stands ? inAim ? LoadResult.End.IN_AIM : LoadResult.End.LATE
-                : rcode == 5 ? LoadResult.End.REFUSED : LoadResult.End.FAILED, now);
+        end(
+                s,
+                id,
+                stands
+                        ? inAim ? LoadResult.End.IN_AIM : LoadResult.End.LATE
+                        : rcode == 5 ? LoadResult.End.REFUSED : LoadResult.End.FAILED,
+                now);
     }
 
     private void end(Socket s, int id, LoadResult.End end, double now) {
--- a/src/main/java/damsonseam/load/Profile.java
+++ b/src/main/java/damsonseam/load/Profile.java
@@ -13,7 +13,7 @@
     private final List<Point> points;
 
     /** A rate, in calls a second, at a time in seconds. */
-    public record Point(double at, double perS) { }
+    public record Point(double at, double perS) {}
 
     /** A profile through these points, in order of time; before the first and after the last the rate is theirs. */
     public Profile(List<Point> points) {
@@ -21,7 +21,8 @@
             throw new IllegalArgumentException("a profile needs one point at least");
         }
         for (int i = 0; i < points.size(); i++) {
-            if (!(points.get(i).perS() >= 0) || i > 0 && points.get(i).at() < points.get(i - 1).at()) {
+            if (!(points.get(i).perS() >= 0)
+                    || i > 0 && points.get(i).at() < points.get(i - 1).at()) {
                 throw new IllegalArgumentException("point " + i + " of the profile: expected a rate of 0 or more, not "
                         + "earlier than the one before");
             }
@@ -36,8 +37,12 @@
 
     /** A rate that is {@code factor} times as high from {@code from} to {@code until} seconds. */
     public static Profile burst(double perS, double factor, double from, double until) {
-        return new Profile(List.of(new Point(0, perS), new Point(from, perS), new Point(from, factor * perS),
-                new Point(until, factor * perS), new Point(until, perS)));
+        return new Profile(List.of(
+                new Point(0, perS),
+                new Point(from, perS),
+                new Point(from, factor * perS),
+                new Point(until, factor * perS),
+                new Point(until, perS)));
     }
 
     /**
@@ -45,9 +50,13 @@
      * {@code factor} times the ordinary rate, and a long way back.
      */
     public static Profile publication(double perS, double factor, double seconds) {
-        return new Profile(List.of(new Point(0, perS / 3), new Point(0.2 * seconds, perS / 2),
-                new Point(0.25 * seconds, factor * perS), new Point(0.4 * seconds, factor * perS),
-                new Point(0.55 * seconds, Math.max(1, factor / 2) * perS), new Point(0.8 * seconds, perS),
+        return new Profile(List.of(
+                new Point(0, perS / 3),
+                new Point(0.2 * seconds, perS / 2),
+                new Point(0.25 * seconds, factor * perS),
+                new Point(0.4 * seconds, factor * perS),
+                new Point(0.55 * seconds, Math.max(1, factor / 2) * perS),
+                new Point(0.8 * seconds, perS),
                 new Point(seconds, perS / 3)));
     }
 
@@ -57,7 +66,8 @@
         for (Point p : points) {
             if (p.at() > seconds) {
                 double span = p.at() - before.at();
-                return span <= 0 ? before.perS()
+                return span <= 0
+                        ? before.perS()
                         : before.perS() + (p.perS() - before.perS()) * Math.max(0, seconds - before.at()) / span;
             }
             before = p;
@@ -87,7 +97,8 @@
             double whole = (a + b) / 2 * span;
             if (whole >= left) {
                 double slope = (b - a) / span;
-                double x = Math.abs(slope) < 1e-9 ? left / a
+                double x = Math.abs(slope) < 1e-9
+                        ? left / a
                         : (-a + Math.sqrt(Math.max(0, a * a + 2 * slope * left))) / slope;
                 return (t + Math.min(span, x)) * S;
             }
--- a/src/main/java/damsonseam/loop/CallLog.java
+++ b/src/main/java/damsonseam/loop/CallLog.java
@@ -9,6 +9,7 @@
 public final class CallLog implements Story {
     /** The logger that tells the calls. */
     public static final String NAME = "damsonseam.calls";
+
     private static final Logger LOG = LoggerFactory.getLogger(NAME);
 
     private final String front;
@@ -20,9 +21,13 @@
 
     @Override
     public void step(double now, CallRecord call, String step, String detail) {
-        LOG.atInfo().addKeyValue("front", front).addKeyValue("call", Long.toHexString(call.id()))
-                .addKeyValue("number", call.number()).addKeyValue("attempt", call.attempts())
+        LOG.atInfo()
+                .addKeyValue("front", front)
+                .addKeyValue("call", Long.toHexString(call.id()))
+                .addKeyValue("number", call.number())
+                .addKeyValue("attempt", call.attempts())
                 .addKeyValue("ms", Math.round((now - call.takenAt()) * 1000) / 1000.0)
-                .addKeyValue("detail", detail).log(step);
+                .addKeyValue("detail", detail)
+                .log(step);
     }
 }
--- a/src/main/java/damsonseam/loop/Loop.java
+++ b/src/main/java/damsonseam/loop/Loop.java
@@ -19,7 +19,7 @@
     private final double beat;
     private final long origin = System.nanoTime();
     private final Timers timers = new Timers(0);
-    private Runnable settle = () -> { };
+    private Runnable settle = () -> {};
     private boolean asked;
     private ScheduledFuture<?> beats;
 
@@ -37,10 +37,14 @@
     public void start(Runnable onBeat, Runnable settle) {
         this.settle = settle;
         long every = (long) (beat * 1_000_000);
-        beats = eventLoop.scheduleWithFixedDelay(() -> {
-            onBeat.run();
-            kick();
-        }, every, every, TimeUnit.NANOSECONDS);
+        beats = eventLoop.scheduleWithFixedDelay(
+                () -> {
+                    onBeat.run();
+                    kick();
+                },
+                every,
+                every,
+                TimeUnit.NANOSECONDS);
     }
 
     /** The front's clock in milliseconds. */
@@ -81,13 +85,16 @@
     private void afterReads(Runnable what, int turns) {
         long asked = System.nanoTime();
         // A task scheduled by a task is fetched in the next turn, behind its reads.
-        eventLoop.execute(() -> eventLoop.schedule(() -> {
-            if (turns > 0 && System.nanoTime() - asked > LONG_TURN_NS) {
-                afterReads(what, turns - 1);
-            } else {
-                what.run();
-            }
-        }, 0, TimeUnit.NANOSECONDS));
+        eventLoop.execute(() -> eventLoop.schedule(
+                () -> {
+                    if (turns > 0 && System.nanoTime() - asked > LONG_TURN_NS) {
+                        afterReads(what, turns - 1);
+                    } else {
+                        what.run();
+                    }
+                },
+                0,
+                TimeUnit.NANOSECONDS));
     }
 
     /** Ends the beat. */
--- a/src/main/java/damsonseam/node/CallBook.java
+++ b/src/main/java/damsonseam/node/CallBook.java
@@ -25,15 +25,17 @@
     static final int MOST_ADOPTED = 10_000;
     /** Calls known to be over that are kept, in case a caller still names one as standing, and for how long. */
     private static final int MOST_OVER = 2_000;
+
     private static final double OVER_MS = 8_000;
     /** Q.850: the call came to its end; temporary failure, by which a cut call is told. */
     static final int NORMAL_CLEARING = 16;
+
     static final int TEMPORARY_FAILURE = 41;
     private static final int TURNED_AWAY = 503;
     private static final int FAILED = 500;
 
     /** The end of a call at a server, of one that this node has not been told of, too. */
-    private record Over(String server, int cause, double at) { }
+    private record Over(String server, int cause, double at) {}
 
     private final Map<String, NodeCall> byId = new HashMap<>();
     private final Long2ObjectHashMap<NodeCall> byRecord = new Long2ObjectHashMap<>();
@@ -75,8 +77,12 @@
 
     /** Calls that stand, by the connections of their callers, each counted once. */
     int named() {
-        return byId.values().stream().filter(c -> c.standsAt != null).map(c -> c.caller).distinct()
-                .mapToInt(CallerLink::standingCalls).sum();
+        return byId.values().stream()
+                .filter(c -> c.standsAt != null)
+                .map(c -> c.caller)
+                .distinct()
+                .mapToInt(CallerLink::standingCalls)
+                .sum();
     }
 
     /** Enters a call before the core is told of it, which may answer it at once. */
@@ -127,7 +133,9 @@
     }
 
     private static void tell(NodeCall call, String what) {
-        LOG.atDebug().addKeyValue("id", call.id).addKeyValue("server", call.standsAt == null ? "" : call.standsAt.id())
+        LOG.atDebug()
+                .addKeyValue("id", call.id)
+                .addKeyValue("server", call.standsAt == null ? "" : call.standsAt.id())
                 .log(what);
     }
 
@@ -189,8 +197,14 @@
         endedAt(call.standsAt.id(), call.id, cause);
         tell(call, "over: " + result);
         if (call.record != null) {
-            router.ended(router.now(), call.record.id(), call.record.attempts() - 1, result, Reason.NONE,
-                    OptionalDouble.empty(), report);
+            router.ended(
+                    router.now(),
+                    call.record.id(),
+                    call.record.attempts() - 1,
+                    result,
+                    Reason.NONE,
+                    OptionalDouble.empty(),
+                    report);
         }
         forget(call);
     }
--- a/src/main/java/damsonseam/node/CallSettings.java
+++ b/src/main/java/damsonseam/node/CallSettings.java
@@ -11,6 +11,7 @@
     private static final int LONGEST_NUMBER = 64;
     /** Longest wait that a caller may name, in milliseconds: a day, far beyond any deadline. */
     private static final double LONGEST_WAIT = 86_400_000;
+
     private static final int MOST_WIDTH = 65_535;
     private static final String SCHEME = "sip:";
 
@@ -20,8 +21,10 @@
 
     CallSettings(StartSettings settings) {
         classes = settings.classNames();
-        longestWait = settings.settings(0).classes().stream().mapToDouble(c -> c.deadline().orElse(LONGEST_WAIT))
-                .max().orElse(LONGEST_WAIT);
+        longestWait = settings.settings(0).classes().stream()
+                .mapToDouble(c -> c.deadline().orElse(LONGEST_WAIT))
+                .max()
+                .orElse(LONGEST_WAIT);
         reports = new ReportFields(settings.reportFields(), ';');
     }
 
@@ -39,8 +42,17 @@
      *
      * @param at the server at which the call stands already, or null
      */
-    record SetUp(String id, String target, String number, int callClass, String className, double patience,
-            boolean redialled, int destination, String at, String legs) { }
+    record SetUp(
+            String id,
+            String target,
+            String number,
+            int callClass,
+            String className,
+            double patience,
+            boolean redialled,
+            int destination,
+            String at,
+            String legs) {}
 
     /** A message that can't be used; the text says what was expected. */
     static final class BadMessage extends Exception {
@@ -53,8 +65,9 @@
 
     /** Whether a text is an id of a call. */
     static boolean isId(String text) {
-        return text != null && text.length() == ID_DIGITS && text.chars().allMatch(c -> c >= '0' && c <= '9'
-                || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F');
+        return text != null
+                && text.length() == ID_DIGITS
+                && text.chars().allMatch(c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F');
     }
 
     /** Reads a set-up; every figure is checked for form and range. */
@@ -63,7 +76,8 @@
         need(invite.cseqNumber() >= 0 && invite.cseqMethod().equals(SipMessage.INVITE), "CSeq with INVITE");
         String target = invite.target();
         int at = target.indexOf('@');
-        need(target.startsWith(SCHEME) && at > SCHEME.length() && at <= SCHEME.length() + LONGEST_NUMBER,
+        need(
+                target.startsWith(SCHEME) && at > SCHEME.length() && at <= SCHEME.length() + LONGEST_NUMBER,
                 "sip:NUMBER@net");
         String number = target.substring(SCHEME.length(), at);
         need(number.chars().allMatch(c -> c > ' ' && c < 0x7f), "a number");
@@ -88,14 +102,23 @@
                     need(value.matches("s-[0-9a-f]{8}"), "at with a server");
                     stands = value;
                 }
-                default -> { } // A figure that later versions may bring.
+                default -> {} // A figure that later versions may bring.
             }
         }
         String timer = invite.headers().get("X-Timer-Ms");
-        double patience = stands != null && timer == null ? 0
-                : figure(timer == null ? "" : timer, 0, LONGEST_WAIT, "X-Timer-Ms");
-        return new SetUp(invite.callId(), target, number, callClass, className, patience, "1".equals(again),
-                destination, stands, legs);
+        double patience =
+                stands != null && timer == null ? 0 : figure(timer == null ? "" : timer, 0, LONGEST_WAIT, "X-Timer-Ms");
+        return new SetUp(
+                invite.callId(),
+                target,
+                number,
+                callClass,
+                className,
+                patience,
+                "1".equals(again),
+                destination,
+                stands,
+                legs);
     }
 
     private static double figure(String text, double least, double most, String name) throws BadMessage {
--- a/src/main/java/damsonseam/node/CallerLink.java
+++ b/src/main/java/damsonseam/node/CallerLink.java
@@ -34,6 +34,7 @@
      * how long one that has brought a set-up is idle before it gives way to another.
      */
     private static final double GIVES_WAY_MS = 60;
+
     private static final double GIVES_WAY_IDLE_MS = 2_000;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_ALLOWED = 405;
@@ -47,12 +48,15 @@
     private final SipDecoder decoder;
     /** Set-ups of this connection that are not answered yet; the core's table bounds all of them. */
     private final Set<NodeCall> open = new HashSet<>();
+
     private InetAddress host;
     /** Calls that stand and were named on this connection last. */
     private int standing;
+
     private double heardAt;
     /** Since when part of a message stands here; NaN while none does. */
     private double amidstFrom = Double.NaN;
+
     private boolean spoke;
     private boolean shown;
     private boolean unflushed;
@@ -114,8 +118,12 @@
 
     /** Closes from this side, for a reason that the log tells. */
     void close(String why) {
-        LOG.atDebug().addKeyValue("from", String.valueOf(channel.remoteAddress())).addKeyValue("why", why)
-                .addKeyValue("open", open.size()).addKeyValue("standing", standing).log("caller closed");
+        LOG.atDebug()
+                .addKeyValue("from", String.valueOf(channel.remoteAddress()))
+                .addKeyValue("why", why)
+                .addKeyValue("open", open.size())
+                .addKeyValue("standing", standing)
+                .log("caller closed");
         channel.flush();
         channel.close();
     }
@@ -157,7 +165,9 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (!open.isEmpty()) {
-            LOG.atDebug().addKeyValue("from", String.valueOf(channel.remoteAddress())).addKeyValue("open", open.size())
+            LOG.atDebug()
+                    .addKeyValue("from", String.valueOf(channel.remoteAddress()))
+                    .addKeyValue("open", open.size())
                     .log("caller gone with set-ups open");
         }
         listener.closed(this);
@@ -177,12 +187,15 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         Throwable why = cause instanceof DecoderException && cause.getCause() != null ? cause.getCause() : cause;
-        LOG.atDebug().addKeyValue("from", String.valueOf(channel.remoteAddress())).addKeyValue("why", why.toString())
+        LOG.atDebug()
+                .addKeyValue("from", String.valueOf(channel.remoteAddress()))
+                .addKeyValue("why", why.toString())
                 .log("caller's connection closed");
         if (why instanceof SipFormatException && channel.isActive()) {
             // Where the next message starts is not known: told once, then closed.
-            channel.writeAndFlush(SipEncoder.encode(channel.alloc(), SipMessage.answer(BAD_REQUEST, "Bad Request",
-                    null, null))).addListener(ChannelFutureListener.CLOSE);
+            channel.writeAndFlush(SipEncoder.encode(
+                            channel.alloc(), SipMessage.answer(BAD_REQUEST, "Bad Request", null, null)))
+                    .addListener(ChannelFutureListener.CLOSE);
             giveUpAll();
             return;
         }
@@ -221,7 +234,7 @@
     private void request(SipMessage message, double now) {
         switch (message.method()) {
             case SipMessage.INVITE -> invite(message, now);
-            case SipMessage.ACK -> { }
+            case SipMessage.ACK -> {}
             case SipMessage.CANCEL -> cancel(message);
             case SipMessage.BYE -> bye(message);
             case SipMessage.OPTIONS -> {
@@ -261,12 +274,29 @@
             twice(message, known);
             return;
         }
-        NodeCall call = new NodeCall(book, asked.id(), asked.target(), asked.className(), asked.legs(),
-                message.cseq(), message.body(), this);
+        NodeCall call = new NodeCall(
+                book,
+                asked.id(),
+                asked.target(),
+                asked.className(),
+                asked.legs(),
+                message.cseq(),
+                message.body(),
+                this);
         open.add(call);
         book.add(call);
-        book.taken(call, listener.router().routed(now, asked.number(), asked.callClass(), asked.destination(),
-                asked.patience(), listener.router().turnAge(now), asked.redialled(), call));
+        book.taken(
+                call,
+                listener.router()
+                        .routed(
+                                now,
+                                asked.number(),
+                                asked.callClass(),
+                                asked.destination(),
+                                asked.patience(),
+                                listener.router().turnAge(now),
+                                asked.redialled(),
+                                call));
     }
 
     /** A second set-up under an id in use: which of the two its sender means can't be known. */
@@ -289,8 +319,15 @@
             }
             return;
         }
-        NodeCall call = new NodeCall(listener.book(), asked.id(), asked.target(), asked.className(), asked.legs(),
-                message.cseq(), null, this);
+        NodeCall call = new NodeCall(
+                listener.book(),
+                asked.id(),
+                asked.target(),
+                asked.className(),
+                asked.legs(),
+                message.cseq(),
+                null,
+                this);
         ServerLink server = listener.servers().get(asked.at());
         if (server == null) {
             listener.book().releases().say(call, CallBook.TEMPORARY_FAILURE);
--- a/src/main/java/damsonseam/node/CallerListener.java
+++ b/src/main/java/damsonseam/node/CallerListener.java
@@ -30,11 +30,13 @@
     private static final Logger LOG = LoggerFactory.getLogger(CallerListener.class);
     /** Octets waiting to be sent beyond which a caller is taken not to read, and is closed. */
     static final int MOST_UNSENT = 256 << 10;
+
     private static final int BACKLOG = 512;
     /** Connections accepted in one turn of the loop: callers with calls are not kept waiting by newcomers. */
     private static final int ACCEPTS_A_TURN = 4;
     /** How long nobody is accepted where the system had no descriptor for the last. */
     private static final double NO_ACCEPT_MS = 50;
+
     private static final double SWEEP_MS = 50;
 
     private final Loop loop;
@@ -43,9 +45,11 @@
     private final ServerLinks servers;
     /** Descriptors for callers and for servers together. */
     private final int descriptors;
+
     private final BooleanSupplier ready;
     /** In the order in which they were last heard of. */
     private final Set<CallerLink> links = new LinkedHashSet<>();
+
     private Router router;
     private Channel channel;
     private long gaveWay;
@@ -53,7 +57,12 @@
     private double heardAt;
     private double acceptsFrom = Double.NEGATIVE_INFINITY;
 
-    CallerListener(Loop loop, CallSettings settings, CallBook book, ServerLinks servers, int descriptors,
+    CallerListener(
+            Loop loop,
+            CallSettings settings,
+            CallBook book,
+            ServerLinks servers,
+            int descriptors,
             BooleanSupplier ready) {
         this.loop = loop;
         this.settings = settings;
@@ -70,22 +79,31 @@
 
     /** Opens the port. */
     void bind(InetSocketAddress address) throws IOException {
-        ChannelFuture bound = new ServerBootstrap().group(loop.eventLoop()).channel(NioServerSocketChannel.class)
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop.eventLoop())
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new ServerChannelRecvByteBufAllocator()
-                        .maxMessagesPerRead(ACCEPTS_A_TURN)).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.ALLOCATOR, NodeServer.BUFFERS)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK,
-                        new WriteBufferWaterMark(MOST_UNSENT / 2, MOST_UNSENT))
-                .handler(new Accepts()).childHandler(new ChannelInitializer<SocketChannel>() {
+                .option(
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS_A_TURN))
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.ALLOCATOR, NodeServer.BUFFERS)
+                .childOption(
+                        ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(MOST_UNSENT / 2, MOST_UNSENT))
+                .handler(new Accepts())
+                .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel made) {
                         SipDecoder decoder = new SipDecoder();
                         made.pipeline().addLast(decoder, new CallerLink(CallerListener.this, made, decoder));
                     }
-                }).bind(address).awaitUninterruptibly();
+                })
+                .bind(address)
+                .awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IOException("cannot listen on " + address + ": " + bound.cause().getMessage(), bound.cause());
+            throw new IOException(
+                    "cannot listen on " + address + ": " + bound.cause().getMessage(), bound.cause());
         }
         channel = bound.channel();
     }
@@ -126,7 +144,9 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             double now = loop.now();
-            LOG.atWarn().addKeyValue("why", cause.toString()).addKeyValue("connections", links.size())
+            LOG.atWarn()
+                    .addKeyValue("why", cause.toString())
+                    .addKeyValue("connections", links.size())
                     .log("a caller could not be accepted");
             acceptsFrom = now + NO_ACCEPT_MS;
             giveWay(now);
@@ -136,8 +156,11 @@
 
     /** Closes the connection of the least use; false if each may be needed. */
     private boolean giveWay(double now) {
-        CallerLink way = links.stream().filter(l -> l.givesWay(now) && !l.shown()).findFirst().orElseGet(
-                () -> links.stream().filter(l -> l.givesWay(now)).findFirst().orElse(null));
+        CallerLink way = links.stream()
+                .filter(l -> l.givesWay(now) && !l.shown())
+                .findFirst()
+                .orElseGet(() ->
+                        links.stream().filter(l -> l.givesWay(now)).findFirst().orElse(null));
         if (way == null) {
             return false;
         }
@@ -161,7 +184,9 @@
         boolean room = links.size() < most() && now >= acceptsFrom;
         if (channel != null && channel.isActive() && channel.config().isAutoRead() != room) {
             channel.config().setAutoRead(room);
-            LOG.atInfo().addKeyValue("connections", links.size()).addKeyValue("peak", peak)
+            LOG.atInfo()
+                    .addKeyValue("connections", links.size())
+                    .addKeyValue("peak", peak)
                     .addKeyValue("gaveWay", gaveWay)
                     .log(room ? "callers are accepted again" : "callers wait to be accepted");
         }
--- a/src/main/java/damsonseam/node/CoordinatorClient.java
+++ b/src/main/java/damsonseam/node/CoordinatorClient.java
@@ -33,6 +33,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(CoordinatorClient.class);
     /** A frame comes each second; two missing ones would be late for what a silent coordinator owes. */
     private static final double SILENCE_MS = 1_500;
+
     private static final double FIRST_BACKOFF_MS = 50;
     private static final double MOST_BACKOFF_MS = 500;
     private static final int CONNECT_MS = 500;
@@ -52,6 +53,7 @@
     private long generation;
     /** The highest number that a frame of nothing new made this node ask for: asked for once. */
     private long missed;
+
     private boolean closed;
 
     /** @param seed spreads the backoffs of a fleet */
@@ -87,7 +89,9 @@
     void move(Endpoint to, List<ListEvent> known) {
         known.forEach(this::apply);
         if (!to.equals(address)) {
-            LOG.atInfo().addKeyValue("from", address.toString()).addKeyValue("to", to.toString())
+            LOG.atInfo()
+                    .addKeyValue("from", address.toString())
+                    .addKeyValue("to", to.toString())
                     .log("coordinator moved");
             address = to;
             backoff = FIRST_BACKOFF_MS;
@@ -101,16 +105,20 @@
         }
         long of = leave();
         heardAt = loop.now();
-        ChannelFuture made = new Bootstrap().group(loop.eventLoop()).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.ALLOCATOR, NodeServer.BUFFERS)
+        ChannelFuture made = new Bootstrap()
+                .group(loop.eventLoop())
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.ALLOCATOR, NodeServer.BUFFERS)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel made) {
-                        made.pipeline().addLast(new LengthFieldBasedFrameDecoder(MOST_FRAME, 0, 4, 0, 4),
-                                new Frames(of));
+                        made.pipeline()
+                                .addLast(new LengthFieldBasedFrameDecoder(MOST_FRAME, 0, 4, 0, 4), new Frames(of));
                     }
-                }).connect(address.socket());
+                })
+                .connect(address.socket());
         made.addListener(f -> {
             if (!f.isSuccess()) {
                 broke(of, f.cause().toString());
@@ -145,7 +153,10 @@
         if (of != generation || closed) {
             return;
         }
-        LOG.atInfo().addKeyValue("why", why).addKeyValue("last", router.pool().version()).log("coordinator lost");
+        LOG.atInfo()
+                .addKeyValue("why", why)
+                .addKeyValue("last", router.pool().version())
+                .log("coordinator lost");
         long next = leave();
         double wait = backoff * (0.5 + 0.5 * random.nextDouble());
         backoff = Math.min(MOST_BACKOFF_MS, 2 * backoff);
@@ -174,11 +185,14 @@
             return true;
         }
         double now = loop.now();
-        boolean gap = router.directory(now, event.number(), event.full(),
-                event.servers(now, System.currentTimeMillis()));
+        boolean gap =
+                router.directory(now, event.number(), event.full(), event.servers(now, System.currentTimeMillis()));
         servers.follow(router.pool());
-        LOG.atInfo().addKeyValue("number", event.number()).addKeyValue("full", event.full())
-                .addKeyValue("entries", event.entries().toString()).log("list");
+        LOG.atInfo()
+                .addKeyValue("number", event.number())
+                .addKeyValue("full", event.full())
+                .addKeyValue("entries", event.entries().toString())
+                .log("list");
         return !gap;
     }
 
@@ -189,8 +203,8 @@
             return null;
         }
         if (kind > 2 || frame.readableBytes() % RECORD != 0) {
-            throw new IllegalArgumentException("a frame of kind " + kind + " with " + frame.readableBytes()
-                    + " octets of records");
+            throw new IllegalArgumentException(
+                    "a frame of kind " + kind + " with " + frame.readableBytes() + " octets of records");
         }
         List<ListEvent.Entry> entries = new ArrayList<>();
         while (frame.isReadable()) {
@@ -205,8 +219,12 @@
             frame.skipBytes(2); // Zone and kind: the module has no use for them.
             int cell = frame.readUnsignedShort();
             frame.skipBytes(4); // Weight.
-            entries.add(new ListEvent.Entry(id, host + ":" + port, cell,
-                    new State[] {State.RUNNING, State.DRAINING, State.GONE}[state], frame.readLong()));
+            entries.add(new ListEvent.Entry(
+                    id,
+                    host + ":" + port,
+                    cell,
+                    new State[] {State.RUNNING, State.DRAINING, State.GONE}[state],
+                    frame.readLong()));
         }
         return new ListEvent(number, kind == 1, entries);
     }
--- a/src/main/java/damsonseam/node/ListEvent.java
+++ b/src/main/java/damsonseam/node/ListEvent.java
@@ -24,13 +24,18 @@
      * @param state whether it takes work
      * @param upSince Unix millisecond of a late start, else 0
      */
-    record Entry(String id, String address, int cell, State state, long upSince) { }
+    record Entry(String id, String address, int cell, State state, long upSince) {}
 
     /** The entries on the node's own clock, which reads {@code now} at the Unix millisecond {@code unix}. */
     List<Pool.Server> servers(double now, long unix) {
         List<Pool.Server> servers = new ArrayList<>(entries.size());
         for (Entry e : entries) {
-            servers.add(new Pool.Server(e.id, e.cell, e.address, 0, e.state,
+            servers.add(new Pool.Server(
+                    e.id,
+                    e.cell,
+                    e.address,
+                    0,
+                    e.state,
                     e.upSince > 0 ? OptionalDouble.of(now - (unix - e.upSince)) : OptionalDouble.empty()));
         }
         return servers;
--- a/src/main/java/damsonseam/node/NodeCall.java
+++ b/src/main/java/damsonseam/node/NodeCall.java
@@ -39,9 +39,17 @@
     ServerLink standsAt;
     /** When it began to stand, on the node's clock. */
     double stoodAt;
+
     private final CallBook book;
 
-    NodeCall(CallBook book, String id, String target, String className, String legs, String cseq, byte[] offer,
+    NodeCall(
+            CallBook book,
+            String id,
+            String target,
+            String className,
+            String legs,
+            String cseq,
+            byte[] offer,
             CallerLink caller) {
         this.book = book;
         this.id = id;
--- a/src/main/java/damsonseam/node/NodeConfig.java
+++ b/src/main/java/damsonseam/node/NodeConfig.java
@@ -27,10 +27,18 @@
  * @param known the changes so far, by rising numbers
  * @param settings what the simulator tells an instance at its start
  */
-public record NodeConfig(String name, Endpoint listen, long seed, int sockets, int memoryMb, Endpoint coordinator,
-        List<ListEvent> known, StartSettings settings) {
+public record NodeConfig(
+        String name,
+        Endpoint listen,
+        long seed,
+        int sockets,
+        int memoryMb,
+        Endpoint coordinator,
+        List<ListEvent> known,
+        StartSettings settings) {
     /** Octets of the file at the most: it is read whole. */
     private static final int MOST = 4 << 20;
+
     private static final int HEX = 16;
     private static final int LEAST_SOCKETS = 64;
 
@@ -42,7 +50,8 @@
             }
             return of(new ObjectMapper().readTree(Files.readAllBytes(file)));
         } catch (IOException | IllegalArgumentException e) {
-            throw new SettingsException(file + ": " + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
+            throw new SettingsException(file + ": "
+                    + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
         }
     }
 
@@ -50,10 +59,13 @@
         JsonNode limits = root.path("limits");
         Map<String, String> paths = new HashMap<>();
         flatten("", need(root, "settings"), paths);
-        return new NodeConfig(root.path("name").asText("node"), Endpoint.of(need(root, "listen").asText()),
+        return new NodeConfig(
+                root.path("name").asText("node"),
+                Endpoint.of(need(root, "listen").asText()),
                 Long.parseUnsignedLong(need(root, "seed").asText(), HEX),
                 Math.max(LEAST_SOCKETS, limits.path("sockets").asInt(LEAST_SOCKETS)),
-                limits.path("memory_mb").asInt(0), Endpoint.of(need(root, "coordinator").asText()),
+                limits.path("memory_mb").asInt(0),
+                Endpoint.of(need(root, "coordinator").asText()),
                 events(root.path("known").path("updates")),
                 new StartSettings(paths, expected -> new IllegalArgumentException("settings: expected " + expected)));
     }
@@ -69,8 +81,9 @@
     /** The paths that the wire writes for the same settings: plain lists joined, lists of others by place. */
     private static void flatten(String path, JsonNode node, Map<String, String> paths) {
         if (node.isObject()) {
-            node.fields().forEachRemaining(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(),
-                    e.getValue(), paths));
+            node.fields()
+                    .forEachRemaining(
+                            e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), paths));
         } else if (node.isArray() && node.size() > 0 && node.get(0).isContainerNode()) {
             paths.put(path + ".count", Integer.toString(node.size()));
             for (int i = 0; i < node.size(); i++) {
@@ -91,17 +104,24 @@
             JsonNode list = need(update, "endpoints");
             List<ListEvent.Entry> entries = new ArrayList<>();
             for (JsonNode m : list.path("members")) {
-                State state = switch (need(m, "phase").asText()) {
-                    case "ready" -> State.RUNNING;
-                    case "draining" -> State.DRAINING;
-                    case "gone" -> State.GONE;
-                    default -> throw new IllegalArgumentException("a member's phase is ready, draining or gone, not "
-                            + m.path("phase").asText());
-                };
-                entries.add(new ListEvent.Entry(need(m, "id").asText(), m.path("host_port").asText(""),
-                        m.path("cell").asInt(-1), state, m.path("up_since_ms").asLong(0)));
+                State state =
+                        switch (need(m, "phase").asText()) {
+                            case "ready" -> State.RUNNING;
+                            case "draining" -> State.DRAINING;
+                            case "gone" -> State.GONE;
+                            default ->
+                                throw new IllegalArgumentException("a member's phase is ready, draining or gone, not "
+                                        + m.path("phase").asText());
+                        };
+                entries.add(new ListEvent.Entry(
+                        need(m, "id").asText(),
+                        m.path("host_port").asText(""),
+                        m.path("cell").asInt(-1),
+                        state,
+                        m.path("up_since_ms").asLong(0)));
             }
-            events.add(new ListEvent(need(update, "index").asLong(), list.path("complete").asBoolean(), entries));
+            events.add(new ListEvent(
+                    need(update, "index").asLong(), list.path("complete").asBoolean(), entries));
         }
         return events;
     }
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -36,6 +36,7 @@
     private static final double LAST_MOMENT = 8;
     /** How long a give-up may take to be written before its attempt counts as over all the same. */
     private static final double RELEASE_WAIT = 100;
+
     private static final double CONNECT_TIMEOUT = 500;
     private static final int MOST_HELD = 20_000;
     /** Open calls that a megabyte of memory is given for: one may hold two descriptions of 16 KiB at worst. */
@@ -44,6 +45,7 @@
     private static final int OWN_DESCRIPTORS = 72;
     /** Connections to all servers at the most, and as a share of the descriptors. */
     private static final int MOST_SERVER_CONNECTIONS = 96;
+
     private static final int SERVERS_SHARE = 6;
     /** A pause of the loop that the log tells of: callers and the module's estimates feel it. */
     private static final double PAUSE_MS = 250;
@@ -72,20 +74,30 @@
         classes = module.classes();
         CallSettings calls = new CallSettings(config.settings());
         int links = Math.min(MOST_SERVER_CONNECTIONS, config.sockets() / SERVERS_SHARE);
-        servers = new ServerLinks(loop, book, calls.reports(),
-                config.settings().connectTimeout().orElse(CONNECT_TIMEOUT), links, config.seed(),
+        servers = new ServerLinks(
+                loop,
+                book,
+                calls.reports(),
+                config.settings().connectTimeout().orElse(CONNECT_TIMEOUT),
+                links,
+                config.seed(),
                 module.mayProbe().orElse(false));
         // Callers may take a third of the descriptors; all that is left is room for those that only knock.
-        callers = new CallerListener(loop, calls, book, servers, config.sockets() - OWN_DESCRIPTORS,
-                this::ready);
+        callers = new CallerListener(loop, calls, book, servers, config.sockets() - OWN_DESCRIPTORS, this::ready);
         coordinator = new CoordinatorClient(loop, servers, config.coordinator(), config.seed());
-        int most = Math.min(config.settings().mostHeld().orElse(MOST_HELD),
+        int most = Math.min(
+                config.settings().mostHeld().orElse(MOST_HELD),
                 config.memoryMb() > 0 ? config.memoryMb() * CALLS_A_MB : MOST_HELD);
-        router = new Router(new RouterSettings(module, most, BEAT, RELEASE_WAIT, LAST_MOMENT),
-                actions -> new Decide(module, actions), new CallTable(most, System.currentTimeMillis() / 1000),
-                loop.timers(), (call, number, deadline) -> {
+        router = new Router(
+                new RouterSettings(module, most, BEAT, RELEASE_WAIT, LAST_MOMENT),
+                actions -> new Decide(module, actions),
+                new CallTable(most, System.currentTimeMillis() / 1000),
+                loop.timers(),
+                (call, number, deadline) -> {
                     throw new IllegalStateException("a front node looks no numbers up");
-                }, servers, coordinator,
+                },
+                servers,
+                coordinator,
                 LoggerFactory.getLogger(CallLog.NAME).isInfoEnabled() ? new CallLog(config.name()) : Story.NONE);
     }
 
@@ -113,8 +125,11 @@
             return null;
         });
         callers.bind(config.listen().socket());
-        LOG.atInfo().addKeyValue("node", config.name()).addKeyValue("listen", callers.address().toString())
-                .addKeyValue("servers", config.known().size()).log("front node started");
+        LOG.atInfo()
+                .addKeyValue("node", config.name())
+                .addKeyValue("listen", callers.address().toString())
+                .addKeyValue("servers", config.known().size())
+                .log("front node started");
     }
 
     private void beat() {
@@ -153,8 +168,11 @@
             return new Shutdown(loop, router, callers, servers, releases, classes).begin();
         });
         done.join();
-        LOG.atInfo().addKeyValue("node", config.name()).addKeyValue("owed", owed())
-                .addKeyValue("standing", call(() -> book.size())).log("ended");
+        LOG.atInfo()
+                .addKeyValue("node", config.name())
+                .addKeyValue("owed", owed())
+                .addKeyValue("standing", call(() -> book.size()))
+                .log("ended");
         close();
     }
 
@@ -193,11 +211,17 @@
      * @param standing calls that stand, by servers
      * @param named calls that stand, by the connections of their callers
      */
-    record Beliefs(int calls, int core, int owed, int attempts, int carried, int standing, int named) { }
+    record Beliefs(int calls, int core, int owed, int attempts, int carried, int standing, int named) {}
 
     Beliefs beliefs() {
-        return call(() -> new Beliefs(book.size(), router.open(), router.owed(), servers.attempts(),
-                servers.carried(), servers.standing(), book.named()));
+        return call(() -> new Beliefs(
+                book.size(),
+                router.open(),
+                router.owed(),
+                servers.attempts(),
+                servers.carried(),
+                servers.standing(),
+                book.named()));
     }
 
     Loop loop() {
--- a/src/main/java/damsonseam/node/Releases.java
+++ b/src/main/java/damsonseam/node/Releases.java
@@ -29,6 +29,7 @@
     private static final double PROOF_MS = 300;
     /** How long a release is kept that found no connection, or no proof: the platform takes none later. */
     private static final double KEPT_MS = 8_000;
+
     private static final double SWEEP_MS = 50;
 
     /** One release. */
@@ -38,6 +39,7 @@
         final double since;
         /** Where it was said last; null while no connection of its caller is there. */
         CallerLink on;
+
         double saidAt;
         int said;
 
@@ -51,6 +53,7 @@
     private final Loop loop;
     /** By ids of calls, in the order of their ends. */
     private final Map<String, Owed> owed = new LinkedHashMap<>();
+
     private Router router;
     private CallerListener callers;
     /** Whether callers answer a BYE here: its 200 is theirs to leave out, and then its absence proves nothing. */
@@ -69,7 +72,9 @@
     /** Releases said just now whose proof may still come; those that wait for a connection are not counted. */
     long underWay() {
         double now = loop.now();
-        return owed.values().stream().filter(o -> o.on != null && now - o.saidAt <= PROOF_MS).count();
+        return owed.values().stream()
+                .filter(o -> o.on != null && now - o.saidAt <= PROOF_MS)
+                .count();
     }
 
     /** Releases that are kept. */
@@ -93,23 +98,35 @@
     private void say(Owed release, CallerLink on) {
         release.on = on;
         if (on == null) {
-            LOG.atInfo().addKeyValue("id", release.call.id).addKeyValue("cause", release.cause)
-                    .addKeyValue("said", release.said).log("a release waits for a connection of its caller");
+            LOG.atInfo()
+                    .addKeyValue("id", release.call.id)
+                    .addKeyValue("cause", release.cause)
+                    .addKeyValue("said", release.said)
+                    .log("a release waits for a connection of its caller");
             return;
         }
-        LOG.atDebug().addKeyValue("id", release.call.id).addKeyValue("to", on.toString())
-                .addKeyValue("own", on == release.call.caller).addKeyValue("said", release.said).log("release");
+        LOG.atDebug()
+                .addKeyValue("id", release.call.id)
+                .addKeyValue("to", on.toString())
+                .addKeyValue("own", on == release.call.caller)
+                .addKeyValue("said", release.said)
+                .log("release");
         release.said++;
         release.saidAt = loop.now();
-        on.send(SipMessage.request(SipMessage.BYE, release.call.target, release.call.id, 2)
-                .with(SipHeaders.REASON, "Q.850;cause=" + release.cause), null);
+        on.send(
+                SipMessage.request(SipMessage.BYE, release.call.target, release.call.id, 2)
+                        .with(SipHeaders.REASON, "Q.850;cause=" + release.cause),
+                null);
     }
 
     /** A caller has answered a BYE that was said on its connection: it knows that the call is over. */
     void heard(CallerLink link, String id) {
         Owed release = owed.get(id);
         if (release != null && (release.on == link || release.call.caller == link)) {
-            LOG.atDebug().addKeyValue("id", id).addKeyValue("said", release.said).log("release heard");
+            LOG.atDebug()
+                    .addKeyValue("id", id)
+                    .addKeyValue("said", release.said)
+                    .log("release heard");
             proofs = true;
             owed.remove(id);
         }
@@ -127,7 +144,8 @@
             return;
         }
         for (Owed release : List.copyOf(owed.values())) {
-            if (release.on == null && release.said < MOST_SAID
+            if (release.on == null
+                    && release.said < MOST_SAID
                     && (link.sameHost(release.call.caller) || link.standing())) {
                 say(release, link);
             }
--- a/src/main/java/damsonseam/node/ServerConnection.java
+++ b/src/main/java/damsonseam/node/ServerConnection.java
@@ -110,9 +110,13 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         Throwable why = cause instanceof DecoderException && cause.getCause() != null ? cause.getCause() : cause;
-        LOG.atInfo().addKeyValue("server", link.id()).addKeyValue("out", out).addKeyValue("why", why.toString())
+        LOG.atInfo()
+                .addKeyValue("server", link.id())
+                .addKeyValue("out", out)
+                .addKeyValue("why", why.toString())
                 .log("server's connection closed");
-        if (!(why instanceof IOException) && !(why instanceof SipFormatException)
+        if (!(why instanceof IOException)
+                && !(why instanceof SipFormatException)
                 && !(why instanceof IllegalArgumentException)) {
             LOG.atError().setCause(why).log("a defect met by a server's message");
         }
--- a/src/main/java/damsonseam/node/ServerLink.java
+++ b/src/main/java/damsonseam/node/ServerLink.java
@@ -38,6 +38,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ServerLink.class);
     /** Connections to one server at the most: what it spoils on one of them then spoils an eighth of its calls. */
     private static final int MOST_CONNECTIONS = 8;
+
     private static final double FIRST_PAUSE = 50;
     private static final double MOST_PAUSE = 1_000;
     /** Octets unsent beyond which a server is taken not to read. */
@@ -49,9 +50,11 @@
     /** Silence of a server with calls standing, before it is tested, and before they count as cut: the platform
      * wants the release of a call whose end nobody told within 8 s. */
     private static final double TEST_AFTER = 2_000;
+
     private static final double DEAD_AFTER = 5_000;
     /** A message stops half way for longer than any packet takes to be sent again. */
     private static final double STUCK_AFTER = 1_000;
+
     private static final String PING = "sip:ping@net";
 
     private final ServerLinks.Shared shared;
@@ -72,9 +75,11 @@
     private final Map<String, Test> tests = new HashMap<>();
     /** Releases that wait for a connection. */
     private final ArrayDeque<SipMessage> byes = new ArrayDeque<>();
+
     private boolean connecting;
     /** Whether the connection that is being made began before another was lost. */
     private boolean oneMore;
+
     private boolean tried;
     private boolean wanted = true;
     private boolean listed = true;
@@ -108,7 +113,7 @@
     }
 
     /** A test that is not answered yet; the module hears of those that it asked for. */
-    private record Test(double sentAt, boolean asked, ServerConnection on) { }
+    private record Test(double sentAt, boolean asked, ServerConnection on) {}
 
     ServerLink(ServerLinks.Shared shared, Router router, Pool.Server server) {
         this.shared = shared;
@@ -142,7 +147,8 @@
 
     /** Attempts by the counts of connections, and those that wait for one. */
     int carried() {
-        return waiting.size() + connections.stream().mapToInt(ServerConnection::out).sum();
+        return waiting.size()
+                + connections.stream().mapToInt(ServerConnection::out).sum();
     }
 
     Set<NodeCall> standing() {
@@ -223,13 +229,17 @@
 
     /** Makes one more connection where there is room; returns whether one is being made. */
     private boolean connect() {
-        boolean room = connections.isEmpty() || connections.size() < MOST_CONNECTIONS && shared.room().getAsBoolean();
+        boolean room = connections.isEmpty()
+                || connections.size() < MOST_CONNECTIONS && shared.room().getAsBoolean();
         if (connecting || !wanted || !room) {
             return connecting;
         }
         connecting = true;
-        new Bootstrap().group(shared.loop().eventLoop()).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.ALLOCATOR, NodeServer.BUFFERS)
+        new Bootstrap()
+                .group(shared.loop().eventLoop())
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.ALLOCATOR, NodeServer.BUFFERS)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) shared.connectTimeout())
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(MOST_UNSENT / 2, MOST_UNSENT))
                 .handler(new ChannelInitializer<SocketChannel>() {
@@ -238,7 +248,9 @@
                         SipDecoder decoder = new SipDecoder();
                         made.pipeline().addLast(decoder, new ServerConnection(ServerLink.this, made, decoder));
                     }
-                }).connect(Endpoint.of(server.address()).socket()).addListener(f -> {
+                })
+                .connect(Endpoint.of(server.address()).socket())
+                .addListener(f -> {
                     if (!f.isSuccess()) {
                         notConnected(f.cause());
                     }
@@ -284,8 +296,11 @@
     void disconnected(ServerConnection connection) {
         connections.remove(connection);
         if (connection.out() > 0) {
-            LOG.atInfo().addKeyValue("server", server.id()).addKeyValue("out", connection.out())
-                    .addKeyValue("others", connections.size()).log("server's connection lost with set-ups out");
+            LOG.atInfo()
+                    .addKeyValue("server", server.id())
+                    .addKeyValue("out", connection.out())
+                    .addKeyValue("others", connections.size())
+                    .log("server's connection lost with set-ups out");
         }
         // A release may have been on its way here: the server says it again on the next connection that is opened.
         oneMore = connecting;
@@ -498,7 +513,8 @@
      * another word it is as silent as one that is not there.
      */
     private static boolean failedTest(SipMessage message) {
-        return !message.isRequest() && message.cseqMethod().equals(SipMessage.OPTIONS)
+        return !message.isRequest()
+                && message.cseqMethod().equals(SipMessage.OPTIONS)
                 && message.status() != SipMessage.OK;
     }
 
@@ -562,7 +578,8 @@
 
     private boolean hasAttempt(String id) {
         NodeCall call = shared.book().get(id);
-        return call != null && (call.standsAt == this || attempts.values().stream().anyMatch(a -> a.of == call));
+        return call != null
+                && (call.standsAt == this || attempts.values().stream().anyMatch(a -> a.of == call));
     }
 
     private static Result result(int status) {
@@ -590,14 +607,20 @@
      */
     private void released(ServerConnection on, SipMessage message, Report report) {
         NodeCall call = shared.book().get(String.valueOf(message.callId()));
-        boolean tidy = String.valueOf(message.headers().get(SipHeaders.REASON)).replace(" ", "")
+        boolean tidy = String.valueOf(message.headers().get(SipHeaders.REASON))
+                .replace(" ", "")
                 .endsWith("cause=" + CallBook.NORMAL_CLEARING);
         if (call == null) {
-            LOG.atDebug().addKeyValue("id", String.valueOf(message.callId())).addKeyValue("server", server.id())
+            LOG.atDebug()
+                    .addKeyValue("id", String.valueOf(message.callId()))
+                    .addKeyValue("server", server.id())
                     .log("release of no call here");
             if (CallSettings.isId(message.callId())) {
-                shared.book().endedAt(server.id(), message.callId(),
-                        tidy ? CallBook.NORMAL_CLEARING : CallBook.TEMPORARY_FAILURE);
+                shared.book()
+                        .endedAt(
+                                server.id(),
+                                message.callId(),
+                                tidy ? CallBook.NORMAL_CLEARING : CallBook.TEMPORARY_FAILURE);
             }
             return;
         }
@@ -629,8 +652,12 @@
         if (on == null) {
             connect();
             if (asked) {
-                shared.loop().timers().set(now + shared.connectTimeout(),
-                        at -> router.probed(at, server.id(), true, !connections.isEmpty(), at - now, Report.NONE));
+                shared.loop()
+                        .timers()
+                        .set(
+                                now + shared.connectTimeout(),
+                                at -> router.probed(
+                                        at, server.id(), true, !connections.isEmpty(), at - now, Report.NONE));
             }
             return;
         }
@@ -665,7 +692,9 @@
         }
         double silent = now - heardAt;
         if (silent > DEAD_AFTER) {
-            LOG.atWarn().addKeyValue("server", server.id()).addKeyValue("calls", standing.size())
+            LOG.atWarn()
+                    .addKeyValue("server", server.id())
+                    .addKeyValue("calls", standing.size())
                     .log("silent server: its calls count as cut");
             List.copyOf(connections).forEach(ServerConnection::close);
             cut(call -> true);
--- a/src/main/java/damsonseam/node/ServerLinks.java
+++ b/src/main/java/damsonseam/node/ServerLinks.java
@@ -30,8 +30,14 @@
      * @param random spreads what fronts would else do in step
      * @param mayProbe whether the settings allow tests
      */
-    record Shared(Loop loop, CallBook book, ReportFields reports, double connectTimeout, BooleanSupplier room,
-            SplittableRandom random, boolean mayProbe) { }
+    record Shared(
+            Loop loop,
+            CallBook book,
+            ReportFields reports,
+            double connectTimeout,
+            BooleanSupplier room,
+            SplittableRandom random,
+            boolean mayProbe) {}
 
     private final Shared shared;
     private final int mostConnections;
@@ -45,12 +51,23 @@
      * @param seed for random numbers
      * @param mayProbe whether the settings allow tests
      */
-    ServerLinks(Loop loop, CallBook book, ReportFields reports, double connectTimeout, int mostConnections,
-            long seed, boolean mayProbe) {
+    ServerLinks(
+            Loop loop,
+            CallBook book,
+            ReportFields reports,
+            double connectTimeout,
+            int mostConnections,
+            long seed,
+            boolean mayProbe) {
         this.mostConnections = mostConnections;
-        shared = new Shared(loop, book, reports, connectTimeout,
+        shared = new Shared(
+                loop,
+                book,
+                reports,
+                connectTimeout,
                 () -> links.values().stream().mapToInt(ServerLink::connections).sum() < mostConnections,
-                new SplittableRandom(seed), mayProbe);
+                new SplittableRandom(seed),
+                mayProbe);
     }
 
     void start(Router router) {
@@ -91,7 +108,9 @@
             ServerLink link = links.get(server.id());
             if (link == null) {
                 // Who listens at this address now is another process: what was there before has ended.
-                links.values().stream().filter(l -> l.address().equals(server.address())).toList()
+                links.values().stream()
+                        .filter(l -> l.address().equals(server.address()))
+                        .toList()
                         .forEach(ServerLink::replaced);
                 links.put(server.id(), new ServerLink(shared, router, server));
             } else {
@@ -140,7 +159,8 @@
 
     /** Whether each running server of the list has been reached, or has been tried in vain. */
     boolean ready() {
-        return router.pool().servers().stream().filter(s -> s.state() == State.RUNNING)
+        return router.pool().servers().stream()
+                .filter(s -> s.state() == State.RUNNING)
                 .allMatch(s -> links.containsKey(s.id()) && links.get(s.id()).tried());
     }
 
--- a/src/main/java/damsonseam/node/Shutdown.java
+++ b/src/main/java/damsonseam/node/Shutdown.java
@@ -19,9 +19,11 @@
     private static final double TAKES_MS = 900;
     /** SIGKILL comes no sooner than this and the longest deadline, of which no more than 3 s count. */
     private static final double KILL_AFTER_MS = 700;
+
     private static final double MOST_DEADLINE_MS = 3_000;
     /** What giving up, closing and ending take on a small part of a core, and the time that callers have to read. */
     private static final double RESERVE_MS = 450;
+
     private static final double CLOSE_MS = 200;
     private static final double LOOK_MS = 10;
 
@@ -35,14 +37,21 @@
     private double from;
     private double closingAt;
 
-    Shutdown(Loop loop, Router router, CallerListener callers, ServerLinks servers, Releases releases,
+    Shutdown(
+            Loop loop,
+            Router router,
+            CallerListener callers,
+            ServerLinks servers,
+            Releases releases,
             List<CallClass> classes) {
         this.loop = loop;
         this.router = router;
         this.callers = callers;
         this.servers = servers;
         this.releases = releases;
-        double longest = classes.stream().mapToDouble(c -> c.deadline().orElse(MOST_DEADLINE_MS)).max()
+        double longest = classes.stream()
+                .mapToDouble(c -> c.deadline().orElse(MOST_DEADLINE_MS))
+                .max()
                 .orElse(MOST_DEADLINE_MS);
         giveUpAfter = Math.max(TAKES_MS, KILL_AFTER_MS + Math.min(MOST_DEADLINE_MS, longest) - RESERVE_MS);
     }
@@ -77,14 +86,19 @@
 
     /** Whether nothing is owed, and nothing that a caller has sent waits to be read. */
     private boolean settled(double now) {
-        return router.owed() == 0 && releases.underWay() == 0 && callers.accepting()
+        return router.owed() == 0
+                && releases.underWay() == 0
+                && callers.accepting()
                 && now - callers.heardAt() > 2 * LOOK_MS;
     }
 
     private void close(double now) {
         closingAt = now;
-        LOG.atInfo().addKeyValue("owed", router.owed()).addKeyValue("releases", releases.size())
-                .addKeyValue("callers", callers.connections()).log("closing");
+        LOG.atInfo()
+                .addKeyValue("owed", router.owed())
+                .addKeyValue("releases", releases.size())
+                .addKeyValue("callers", callers.connections())
+                .log("closing");
         router.giveUpAll(now);
         // Before the callers: a release that a server says from now on is for whoever it connects with next.
         servers.close();
--- a/src/main/java/damsonseam/overload/Diagnosis.java
+++ b/src/main/java/damsonseam/overload/Diagnosis.java
@@ -28,11 +28,11 @@
      * @param collector time for which the collector stopped the program, in milliseconds
      * @param upstreamShare share of look-ups and set-ups answered late or not at all, 0 to 1
      */
-    public record Window(double delay, double loopCpu, double collector, double upstreamShare) { }
+    public record Window(double delay, double loopCpu, double collector, double upstreamShare) {}
 
     private static final double HALF = 0.5;
 
-    private Diagnosis() { }
+    private Diagnosis() {}
 
     /** The cause, for a front whose loop counts as late from {@code onset} milliseconds on. */
     public static Cause of(Window seen, double onset) {
--- a/src/main/java/damsonseam/overload/Gate.java
+++ b/src/main/java/damsonseam/overload/Gate.java
@@ -68,8 +68,8 @@
         double standing = load.standing(now);
         // When a loop that stands still will turn again nobody knows; who is worth more waits longer for it.
         double wait = load.queuedFrom(rank) * load.perCall() + standing / Math.pow(PATIENCE, rank);
-        double delay = Levels.pressure(wait, settings.delayOnset() / 2, settings.delayOnset(),
-                settings.delayCeiling(), ranks);
+        double delay =
+                Levels.pressure(wait, settings.delayOnset() / 2, settings.delayOnset(), settings.delayCeiling(), ranks);
         return Math.max(delay, load.pressure(rank));
     }
 
--- a/src/main/java/damsonseam/overload/HeldRoom.java
+++ b/src/main/java/damsonseam/overload/HeldRoom.java
@@ -16,6 +16,7 @@
     private static final double GROWS_A_SECOND = 0.5;
     /** A moment that follows a stop, or is the first of its kind, is no measure: one alone takes little away. */
     private static final double LEAST_CUT = 0.7;
+
     private static final double NEAR = 0.7;
     private static final double SECOND = 1_000;
 
--- a/src/main/java/damsonseam/overload/Levels.java
+++ b/src/main/java/damsonseam/overload/Levels.java
@@ -60,7 +60,8 @@
      * abatement of rank 0. Each resource has its own, as a wait ends at nothing and a heap does not.
      */
     static double pressure(double value, double abatement, double onset, double ceiling, int ranks) {
-        return value < onset ? ABATEMENT * (value - onset) / (onset - abatement)
+        return value < onset
+                ? ABATEMENT * (value - onset) / (onset - abatement)
                 : (value - onset) / (ceiling - onset) * ranks;
     }
 
--- a/src/main/java/damsonseam/overload/MemoryWatch.java
+++ b/src/main/java/damsonseam/overload/MemoryWatch.java
@@ -56,9 +56,11 @@
     /** The share of their room that caches may fill now; it falls at once and grows back over a minute. */
     public double cacheRoom(double now) {
         double foreseen = Math.max(used(), forecast.ahead(settings.forecast()));
-        double room = foreseen < settings.memoryOnset() ? 1
-                : Math.max(LEAST_CACHE, 1 - (foreseen - settings.memoryOnset())
-                        / (settings.memoryCeiling() - settings.memoryOnset()));
+        double room = foreseen < settings.memoryOnset()
+                ? 1
+                : Math.max(
+                        LEAST_CACHE,
+                        1 - (foreseen - settings.memoryOnset()) / (settings.memoryCeiling() - settings.memoryOnset()));
         double passed = Double.isNaN(cacheAt) ? 0 : Math.max(0, now - cacheAt);
         cacheAt = now;
         cache = Math.min(room, cache + passed / CACHE_GROWS_OVER);
--- a/src/main/java/damsonseam/overload/OverloadSettings.java
+++ b/src/main/java/damsonseam/overload/OverloadSettings.java
@@ -14,8 +14,15 @@
  * @param fairMultiple a sender that asks more than so many fair shares loses what is above them first
  * @param longestAdvice longest time for which callers are asked to stay away, in milliseconds
  */
-public record OverloadSettings(double delayOnset, double delayCeiling, double memoryOnset, double memoryCeiling,
-        double tableOnset, double forecast, double fairMultiple, double longestAdvice) {
+public record OverloadSettings(
+        double delayOnset,
+        double delayCeiling,
+        double memoryOnset,
+        double memoryCeiling,
+        double tableOnset,
+        double forecast,
+        double fairMultiple,
+        double longestAdvice) {
 
     /** Refuses levels that can't work. */
     public OverloadSettings {
@@ -24,15 +31,18 @@
         require(memoryCeiling <= 1, "memoryCeiling: expected a share up to 1, found " + memoryCeiling);
         require(tableOnset > 0 && tableOnset <= 1, "tableOnset: expected a share over 0, up to 1, found " + tableOnset);
         require(forecast >= 0, "forecast: expected 0 ms or more");
-        require(fairMultiple >= 1, "fairMultiple: expected 1 at least, found " + fairMultiple
-                + "; under one fair share nobody could ask");
+        require(
+                fairMultiple >= 1,
+                "fairMultiple: expected 1 at least, found " + fairMultiple + "; under one fair share nobody could ask");
         require(longestAdvice >= 0, "longestAdvice: expected 0 ms or more");
     }
 
     private static void order(double onset, double ceiling, String what) {
         require(onset > 0, what + "Onset: expected over 0, found " + onset);
-        require(ceiling > onset, what + "Ceiling: expected above " + what + "Onset (" + onset + "), found " + ceiling
-                + "; ranks need room between the two");
+        require(
+                ceiling > onset,
+                what + "Ceiling: expected above " + what + "Onset (" + onset + "), found " + ceiling
+                        + "; ranks need room between the two");
     }
 
     private static void require(boolean holds, String what) {
--- a/src/main/java/damsonseam/overload/Ranks.java
+++ b/src/main/java/damsonseam/overload/Ranks.java
@@ -15,7 +15,11 @@
         if (worths.isEmpty()) {
             throw new IllegalArgumentException("ranks need one class at least");
         }
-        double[] distinct = worths.stream().mapToDouble(Double::doubleValue).distinct().sorted().toArray();
+        double[] distinct = worths.stream()
+                .mapToDouble(Double::doubleValue)
+                .distinct()
+                .sorted()
+                .toArray();
         count = Math.min(MOST, distinct.length);
         rankOf = new int[worths.size()];
         for (int i = 0; i < rankOf.length; i++) {
--- a/src/main/java/damsonseam/overload/Remembered.java
+++ b/src/main/java/damsonseam/overload/Remembered.java
@@ -12,6 +12,7 @@
     public static final long UNKNOWN = -2;
     /** The question was handed on to the front's core. */
     public static final long TAKEN = -1;
+
     private static final float FILL = 0.6f;
     private static final int FIRST = 1 << 10;
 
--- a/src/main/java/damsonseam/settings/ReportFields.java
+++ b/src/main/java/damsonseam/settings/ReportFields.java
@@ -32,7 +32,7 @@
             return Report.NONE;
         }
         Map<String, OptionalDouble> values = new HashMap<>();
-        for (int at = 0; at <= text.length();) {
+        for (int at = 0; at <= text.length(); ) {
             int next = text.indexOf(between, at);
             int end = next < 0 ? text.length() : next;
             String pair = text.substring(at, end).strip();
@@ -46,8 +46,12 @@
                 values.put(name, decimal(pair.substring(colon + 1), name, wrong));
             }
         }
-        return new Report(value(values, "spare"), value(values, "total"), value(values, "svc_ms"),
-                value(values, "cpu_share"), value(values, "pending"));
+        return new Report(
+                value(values, "spare"),
+                value(values, "total"),
+                value(values, "svc_ms"),
+                value(values, "cpu_share"),
+                value(values, "pending"));
     }
 
     /** A value below 0 is not given. */
--- a/src/main/java/damsonseam/settings/StartSettings.java
+++ b/src/main/java/damsonseam/settings/StartSettings.java
@@ -46,15 +46,26 @@
 
     /** What the decision module is given. */
     public Settings settings(long seed) {
-        return new Settings(seed, whole("Balancers"), classes(), whole("FamilyInfo.SelfNo"),
-                whole("Caps.MaxAttempts"), flag("Caps.MayCancel"), flag("Caps.MayProbe"),
-                flag("Caps.MayTell"), text("Discovery").map(mode -> mode.equals("ask")), number("Tick"),
-                number("Invariants.AnswerSlack"), number("Invariants.DrainGrace"),
-                number("Invariants.ColdFrom"), number("Invariants.WarmWithin"),
-                number("Invariants.TipMultiple"), number("Invariants.Fall"),
-                number("FamilyInfo.Guard"), number("FamilyInfo.Retransmit"),
-                flag("Caps.RetryAfter").orElse(false)
-                        ? number("Caps.MaxRetryAfter") : OptionalDouble.empty());
+        return new Settings(
+                seed,
+                whole("Balancers"),
+                classes(),
+                whole("FamilyInfo.SelfNo"),
+                whole("Caps.MaxAttempts"),
+                flag("Caps.MayCancel"),
+                flag("Caps.MayProbe"),
+                flag("Caps.MayTell"),
+                text("Discovery").map(mode -> mode.equals("ask")),
+                number("Tick"),
+                number("Invariants.AnswerSlack"),
+                number("Invariants.DrainGrace"),
+                number("Invariants.ColdFrom"),
+                number("Invariants.WarmWithin"),
+                number("Invariants.TipMultiple"),
+                number("Invariants.Fall"),
+                number("FamilyInfo.Guard"),
+                number("FamilyInfo.Retransmit"),
+                flag("Caps.RetryAfter").orElse(false) ? number("Caps.MaxRetryAfter") : OptionalDouble.empty());
     }
 
     /** Names of the values of a load report, in their order. */
@@ -89,8 +100,12 @@
         List<CallClass> classes = new ArrayList<>();
         for (int i = 0; i < classCount(); i++) {
             String path = "RequestClasses." + i + ".";
-            classes.add(new CallClass(number(path + "Aim"), number(path + "HardLimit"),
-                    number(path + "Worth"), number(path + "LateValue"), pools(i)));
+            classes.add(new CallClass(
+                    number(path + "Aim"),
+                    number(path + "HardLimit"),
+                    number(path + "Worth"),
+                    number(path + "LateValue"),
+                    pools(i)));
         }
         return classes;
     }
--- a/src/main/java/damsonseam/sip/SipDecoder.java
+++ b/src/main/java/damsonseam/sip/SipDecoder.java
@@ -21,6 +21,7 @@
 public final class SipDecoder extends ByteToMessageDecoder {
     /** Octets of one message at most. */
     public static final int MOST = 16 * 1024;
+
     private static final String VERSION = "SIP/2.0";
     private static final int LONGEST_TOKEN = 64;
 
@@ -98,10 +99,15 @@
         check(first > 0 && second > first, "a first line of less than three parts");
         if (line.startsWith(VERSION)) {
             String code = line.substring(first + 1, second);
-            check(first == VERSION.length() && code.length() == 3 && code.chars().allMatch(SipDecoder::digit)
-                    && code.charAt(0) >= '1' && code.charAt(0) <= '6', "an answer without a status");
-            return new SipMessage("", "", Integer.parseInt(code), line.substring(second + 1), new SipHeaders(),
-                    new byte[0]);
+            check(
+                    first == VERSION.length()
+                            && code.length() == 3
+                            && code.chars().allMatch(SipDecoder::digit)
+                            && code.charAt(0) >= '1'
+                            && code.charAt(0) <= '6',
+                    "an answer without a status");
+            return new SipMessage(
+                    "", "", Integer.parseInt(code), line.substring(second + 1), new SipHeaders(), new byte[0]);
         }
         String method = line.substring(0, first);
         check(token(method) && line.substring(second + 1).equals(VERSION), "a first line that is none of SIP 2.0");
@@ -129,7 +135,8 @@
 
     /** Checked as it is read, and again with the whole head: a length that can't be is not waited for. */
     private static int contentLength(String value) {
-        check(!value.isEmpty() && value.length() <= 9 && value.chars().allMatch(SipDecoder::digit),
+        check(
+                !value.isEmpty() && value.length() <= 9 && value.chars().allMatch(SipDecoder::digit),
                 "a Content-Length that is no length");
         int length = Integer.parseInt(value);
         check(length <= MOST, "a body of more than " + MOST + " octets");
@@ -140,8 +147,11 @@
         SipHeaders headers = head.headers();
         String length = headers.get(SipHeaders.CONTENT_LENGTH);
         check(length != null, "no Content-Length");
-        check(!headers.repeats(SipHeaders.CONTENT_LENGTH) && !headers.repeats(SipHeaders.CALL_ID)
-                && !headers.repeats(SipHeaders.CSEQ), "a header twice that stands once");
+        check(
+                !headers.repeats(SipHeaders.CONTENT_LENGTH)
+                        && !headers.repeats(SipHeaders.CALL_ID)
+                        && !headers.repeats(SipHeaders.CSEQ),
+                "a header twice that stands once");
         bodyLength = contentLength(length);
         check(headLength + bodyLength <= MOST, "a message of more than " + MOST + " octets");
         scanned = -1;
--- a/src/main/java/damsonseam/sip/SipEncoder.java
+++ b/src/main/java/damsonseam/sip/SipEncoder.java
@@ -8,7 +8,7 @@
 public final class SipEncoder {
     private static final int USUAL = 512;
 
-    private SipEncoder() { }
+    private SipEncoder() {}
 
     /** The octets of a message. */
     public static ByteBuf encode(ByteBufAllocator allocator, SipMessage message) {
@@ -17,15 +17,25 @@
         if (message.isRequest()) {
             text.append(message.method()).append(' ').append(message.target()).append(" SIP/2.0\r\n");
         } else {
-            text.append("SIP/2.0 ").append(message.status()).append(' ').append(message.reason()).append("\r\n");
+            text.append("SIP/2.0 ")
+                    .append(message.status())
+                    .append(' ')
+                    .append(message.reason())
+                    .append("\r\n");
         }
         SipHeaders headers = message.headers();
         for (int i = 0; i < headers.size(); i++) {
             if (!headers.name(i).equalsIgnoreCase(SipHeaders.CONTENT_LENGTH)) {
-                text.append(headers.name(i)).append(": ").append(headers.value(i)).append("\r\n");
+                text.append(headers.name(i))
+                        .append(": ")
+                        .append(headers.value(i))
+                        .append("\r\n");
             }
         }
-        text.append(SipHeaders.CONTENT_LENGTH).append(": ").append(message.body().length).append("\r\n\r\n");
+        text.append(SipHeaders.CONTENT_LENGTH)
+                .append(": ")
+                .append(message.body().length)
+                .append("\r\n\r\n");
         ByteBufUtil.writeUtf8(out, text);
         out.writeBytes(message.body());
         return out;
--- a/src/main/java/damsonseam/sip/SipMessage.java
+++ b/src/main/java/damsonseam/sip/SipMessage.java
@@ -11,8 +11,7 @@
  * @param headers all but Content-Length, which the encoder writes
  * @param body the octets after the headers, never null
  */
-public record SipMessage(String method, String target, int status, String reason, SipHeaders headers,
-        byte[] body) {
+public record SipMessage(String method, String target, int status, String reason, SipHeaders headers, byte[] body) {
     /** A set-up. */
     public static final String INVITE = "INVITE";
     /** The set-up's final answer was heard. */
@@ -38,8 +37,16 @@
 
     /** A request with its body. */
     public static SipMessage request(String method, String target, String callId, long number, byte[] body) {
-        return new SipMessage(method, target, 0, "", new SipHeaders().add(SipHeaders.VIA, "SIP/2.0/TCP front")
-                .add(SipHeaders.CALL_ID, callId).add(SipHeaders.CSEQ, number + " " + method), body);
+        return new SipMessage(
+                method,
+                target,
+                0,
+                "",
+                new SipHeaders()
+                        .add(SipHeaders.VIA, "SIP/2.0/TCP front")
+                        .add(SipHeaders.CALL_ID, callId)
+                        .add(SipHeaders.CSEQ, number + " " + method),
+                body);
     }
 
     /** An answer without a body. */
--- a/src/main/java/damsonseam/ss7/AspSession.java
+++ b/src/main/java/damsonseam/ss7/AspSession.java
@@ -22,7 +22,12 @@
     private static final int MOST_PROBES = 64;
 
     /** Where the session is. */
-    public enum State { DOWN, GOING_UP, GOING_ACTIVE, ACTIVE }
+    public enum State {
+        DOWN,
+        GOING_UP,
+        GOING_ACTIVE,
+        ACTIVE
+    }
 
     /** What a session asks of its connection and tells its owner. */
     public interface Output {
@@ -69,8 +74,8 @@
      * @param probeTimeout time in which a probe must be answered, in milliseconds
      * @param heartbeat time between heartbeats on a quiet connection, 0 for none
      */
-    public AspSession(Output out, Timers timers, int aspIdentifier, int farPointCode, double probeTimeout,
-            double heartbeat) {
+    public AspSession(
+            Output out, Timers timers, int aspIdentifier, int farPointCode, double probeTimeout, double heartbeat) {
         this.out = out;
         this.timers = timers;
         this.aspIdentifier = aspIdentifier;
@@ -164,7 +169,7 @@
                 out.data(ProtocolData.of(message));
             }
             case DUNA, DAVA, SCON, DRST -> destination(message);
-            case ERR, NTFY, DUPU -> { }
+            case ERR, NTFY, DUPU -> {}
             default -> throw new SignallingException(M3ua.UNEXPECTED_MESSAGE, message.kind() + " at an ASP");
         }
     }
@@ -191,8 +196,7 @@
     /** Whether one of the listed point codes, each under a mask of its low bits, is the far one. */
     private boolean covers(byte[] affected) throws SignallingException {
         if (affected.length % Integer.BYTES != 0) {
-            throw new SignallingException(M3ua.PARAMETER_FIELD_ERROR, "point codes of " + affected.length
-                    + " octets");
+            throw new SignallingException(M3ua.PARAMETER_FIELD_ERROR, "point codes of " + affected.length + " octets");
         }
         ByteBuffer in = ByteBuffer.wrap(affected);
         while (in.hasRemaining()) {
@@ -225,8 +229,11 @@
     }
 
     private void beat(long id) {
-        out.send(M3ua.of(Kind.BEAT, new Parameter(M3ua.HEARTBEAT_DATA,
-                ByteBuffer.allocate(Long.BYTES).putLong(id).array())));
+        out.send(M3ua.of(
+                Kind.BEAT,
+                new Parameter(
+                        M3ua.HEARTBEAT_DATA,
+                        ByteBuffer.allocate(Long.BYTES).putLong(id).array())));
     }
 
     private void beatAck(double now, M3ua message) {
@@ -244,17 +251,19 @@
 
     private void scheduleBeat(double now) {
         timers.cancel(beatTimer);
-        beatTimer = heartbeat <= 0 ? null : timers.set(now + heartbeat, at -> {
-            // Two silent spans in a row: the far end is gone without having said so.
-            silentBeats = heardSinceBeat ? 0 : silentBeats + 1;
-            if (silentBeats >= 2) {
-                out.close("no heartbeat in " + 2 * heartbeat + " ms");
-                return;
-            }
-            heardSinceBeat = false;
-            beat(nextBeat++);
-            scheduleBeat(at);
-        });
+        beatTimer = heartbeat <= 0
+                ? null
+                : timers.set(now + heartbeat, at -> {
+                    // Two silent spans in a row: the far end is gone without having said so.
+                    silentBeats = heardSinceBeat ? 0 : silentBeats + 1;
+                    if (silentBeats >= 2) {
+                        out.close("no heartbeat in " + 2 * heartbeat + " ms");
+                        return;
+                    }
+                    heardSinceBeat = false;
+                    beat(nextBeat++);
+                    scheduleBeat(at);
+                });
     }
 
     /** Whether set-ups may go out. */
--- a/src/main/java/damsonseam/ss7/Digits.java
+++ b/src/main/java/damsonseam/ss7/Digits.java
@@ -6,7 +6,7 @@
     private static final int INTERNATIONAL = 4;
     private static final int PLAN_E164 = 0x10;
 
-    private Digits() { }
+    private Digits() {}
 
     /** The octets of an international E.164 number. */
     public static byte[] encode(String number) {
--- a/src/main/java/damsonseam/ss7/Isup.java
+++ b/src/main/java/damsonseam/ss7/Isup.java
@@ -116,7 +116,7 @@
     }
 
     /** One parameter: its code and its octets. */
-    public record Parameter(int code, byte[] value) { }
+    public record Parameter(int code, byte[] value) {}
 
     /** A message with these parameters. */
     public static Isup of(int circuit, Type type, Parameter... parameters) {
@@ -142,8 +142,8 @@
         for (int i = 0; i < type.fixed.length; i += 2) {
             byte[] value = mandatory(type.fixed[i]);
             if (value.length != type.fixed[i + 1]) {
-                throw new IllegalArgumentException(type + ": parameter " + type.fixed[i] + " has "
-                        + value.length + " octets, expected " + type.fixed[i + 1]);
+                throw new IllegalArgumentException(type + ": parameter " + type.fixed[i] + " has " + value.length
+                        + " octets, expected " + type.fixed[i + 1]);
             }
             out.writeBytes(value);
         }
@@ -265,8 +265,8 @@
 
     private static byte[] slice(byte[] in, int from, int length) throws SignallingException {
         if (from + length > in.length) {
-            throw new SignallingException(PROTOCOL_ERROR, "a parameter of " + length + " octets at octet "
-                    + from + " of " + in.length);
+            throw new SignallingException(
+                    PROTOCOL_ERROR, "a parameter of " + length + " octets at octet " + from + " of " + in.length);
         }
         return java.util.Arrays.copyOfRange(in, from, from + length);
     }
--- a/src/main/java/damsonseam/ss7/IsupMessages.java
+++ b/src/main/java/damsonseam/ss7/IsupMessages.java
@@ -11,9 +11,10 @@
     private static final byte[] SPEECH = {0};
     /** Location "network beyond interworking point", ITU-T coding. */
     private static final int LOCATION = 0x8a;
+
     private static final int EXTENSION = 0x80;
 
-    private IsupMessages() { }
+    private IsupMessages() {}
 
     /**
      * A set-up.
@@ -22,14 +23,21 @@
      * @param callReference low three octets of the call's id, which both ends write in their logs
      */
     public static Isup setUp(int circuit, String number, int category, long callReference, int pointCode) {
-        return Isup.of(circuit, Isup.Type.IAM, new Isup.Parameter(Isup.CONNECTION, NO_SATELLITE),
+        return Isup.of(
+                circuit,
+                Isup.Type.IAM,
+                new Isup.Parameter(Isup.CONNECTION, NO_SATELLITE),
                 new Isup.Parameter(Isup.FORWARD, FORWARD),
                 new Isup.Parameter(Isup.CATEGORY, new byte[] {(byte) category}),
                 new Isup.Parameter(Isup.MEDIUM, SPEECH),
                 new Isup.Parameter(Isup.CALLED_NUMBER, Digits.encode(number)),
-                new Isup.Parameter(Isup.CALL_REFERENCE, new byte[] {(byte) (callReference >> 16),
-                    (byte) (callReference >> 8), (byte) callReference, (byte) pointCode,
-                    (byte) (pointCode >> 8)}));
+                new Isup.Parameter(Isup.CALL_REFERENCE, new byte[] {
+                    (byte) (callReference >> 16),
+                    (byte) (callReference >> 8),
+                    (byte) callReference,
+                    (byte) pointCode,
+                    (byte) (pointCode >> 8)
+                }));
     }
 
     /** Address complete. */
--- a/src/main/java/damsonseam/ss7/LoadReport.java
+++ b/src/main/java/damsonseam/ss7/LoadReport.java
@@ -17,13 +17,15 @@
     private static final int NO_SHORT = 0xffff;
     private static final double UTIL_STEPS = 200.0;
 
-    private LoadReport() { }
+    private LoadReport() {}
 
     /** The parameter for these figures. */
     public static Isup.Parameter encode(Report report) {
         ByteBuffer out = ByteBuffer.allocate(LENGTH).put((byte) VERSION);
-        out.put((byte) (report.busy().isEmpty() ? NO_OCTET
-                : (int) Math.min(NO_OCTET - 1, Math.round(report.busy().getAsDouble() * UTIL_STEPS))));
+        out.put((byte)
+                (report.busy().isEmpty()
+                        ? NO_OCTET
+                        : (int) Math.min(NO_OCTET - 1, Math.round(report.busy().getAsDouble() * UTIL_STEPS))));
         put(out, report.waiting());
         put(out, report.freeLines());
         put(out, report.lines());
@@ -31,8 +33,10 @@
     }
 
     private static void put(ByteBuffer out, OptionalDouble value) {
-        out.putShort((short) (value.isEmpty() ? NO_SHORT
-                : (int) Math.min(NO_SHORT - 1, Math.max(0, Math.round(value.getAsDouble())))));
+        out.putShort((short)
+                (value.isEmpty()
+                        ? NO_SHORT
+                        : (int) Math.min(NO_SHORT - 1, Math.max(0, Math.round(value.getAsDouble())))));
     }
 
     /** The figures in a message; one that has none, or none that can be read, says nothing. */
@@ -46,8 +50,12 @@
         OptionalDouble queue = get(in);
         OptionalDouble free = get(in);
         OptionalDouble lines = get(in);
-        return new Report(free, lines, OptionalDouble.empty(),
-                util == NO_OCTET ? OptionalDouble.empty() : OptionalDouble.of(util / UTIL_STEPS), queue);
+        return new Report(
+                free,
+                lines,
+                OptionalDouble.empty(),
+                util == NO_OCTET ? OptionalDouble.empty() : OptionalDouble.of(util / UTIL_STEPS),
+                queue);
     }
 
     private static OptionalDouble get(ByteBuffer in) {
--- a/src/main/java/damsonseam/ss7/M3ua.java
+++ b/src/main/java/damsonseam/ss7/M3ua.java
@@ -16,6 +16,7 @@
     public static final int HEADER = 8;
     /** Longest frame taken: far above any ISUP message and any list of point codes in use. */
     public static final int MOST = 4096;
+
     private static final int PARAMETER_HEADER = 4;
     private static final int MOST_PARAMETERS = 64;
     private static final int VERSION = 1;
@@ -117,15 +118,16 @@
                     return kind;
                 }
             }
-            throw new SignallingException(known ? UNSUPPORTED_TYPE : UNSUPPORTED_CLASS,
-                    "message class " + messageClass + ", type " + type);
+            throw new SignallingException(
+                    known ? UNSUPPORTED_TYPE : UNSUPPORTED_CLASS, "message class " + messageClass + ", type " + type);
         }
     }
 
     /** One parameter: its tag and the octets of its value, without padding. */
     public record Parameter(int tag, byte[] value) {
         static Parameter number(int tag, int value) {
-            return new Parameter(tag, ByteBuffer.allocate(Integer.BYTES).putInt(value).array());
+            return new Parameter(
+                    tag, ByteBuffer.allocate(Integer.BYTES).putInt(value).array());
         }
     }
 
@@ -137,7 +139,9 @@
     /** An error about a frame, with up to 40 octets of it (RFC 4666 3.8.1). */
     public static M3ua error(int code, byte[] about) {
         int length = Math.min(about.length, 40);
-        return of(Kind.ERR, Parameter.number(ERROR_CODE, code),
+        return of(
+                Kind.ERR,
+                Parameter.number(ERROR_CODE, code),
                 new Parameter(DIAGNOSTIC, java.util.Arrays.copyOf(about, length)));
     }
 
@@ -171,8 +175,9 @@
             return -1;
         }
         if (value.length < Integer.BYTES) {
-            throw new SignallingException(PARAMETER_FIELD_ERROR, "parameter " + tag + " of " + value.length
-                    + " octets, expected " + Integer.BYTES);
+            throw new SignallingException(
+                    PARAMETER_FIELD_ERROR,
+                    "parameter " + tag + " of " + value.length + " octets, expected " + Integer.BYTES);
         }
         return ByteBuffer.wrap(value).getInt();
     }
@@ -213,8 +218,9 @@
         int type = in.get() & 0xff;
         int length = in.getInt();
         if (length != frame.length) {
-            throw new SignallingException(PROTOCOL_ERROR, "length " + Integer.toUnsignedString(length)
-                    + " in a frame of " + frame.length + " octets");
+            throw new SignallingException(
+                    PROTOCOL_ERROR,
+                    "length " + Integer.toUnsignedString(length) + " in a frame of " + frame.length + " octets");
         }
         Kind kind = Kind.of(messageClass, type);
         List<Parameter> parameters = new ArrayList<>(2);
@@ -234,8 +240,9 @@
         int tag = in.getShort() & 0xffff;
         int length = (in.getShort() & 0xffff) - PARAMETER_HEADER;
         if (length < 0 || length > in.remaining()) {
-            throw new SignallingException(PARAMETER_FIELD_ERROR, "parameter " + tag + " says " + length
-                    + " octets where " + in.remaining() + " are left");
+            throw new SignallingException(
+                    PARAMETER_FIELD_ERROR,
+                    "parameter " + tag + " says " + length + " octets where " + in.remaining() + " are left");
         }
         byte[] value = new byte[length];
         in.get(value);
@@ -250,6 +257,10 @@
 
     @Override
     public String toString() {
-        return kind + parameters.stream().map(p -> " 0x" + Integer.toHexString(p.tag())).toList().toString();
+        return kind
+                + parameters.stream()
+                        .map(p -> " 0x" + Integer.toHexString(p.tag()))
+                        .toList()
+                        .toString();
     }
 }
--- a/src/main/java/damsonseam/ss7/ProtocolData.java
+++ b/src/main/java/damsonseam/ss7/ProtocolData.java
@@ -18,7 +18,11 @@
     /** The DATA message that carries this. */
     public M3ua message() {
         ByteBuffer out = ByteBuffer.allocate(LABEL + isup.length);
-        out.putInt(opc).putInt(dpc).put((byte) SERVICE_ISUP).put((byte) NATIONAL).put((byte) 0);
+        out.putInt(opc)
+                .putInt(dpc)
+                .put((byte) SERVICE_ISUP)
+                .put((byte) NATIONAL)
+                .put((byte) 0);
         out.put((byte) sls).put(isup);
         return M3ua.of(M3ua.Kind.DATA, new M3ua.Parameter(M3ua.PROTOCOL_DATA, out.array()));
     }
@@ -30,16 +34,17 @@
             throw new SignallingException(M3ua.MISSING_PARAMETER, "a DATA without protocol data");
         }
         if (value.length < LABEL) {
-            throw new SignallingException(M3ua.PARAMETER_FIELD_ERROR, "protocol data of " + value.length
-                    + " octets, at least " + LABEL + " are needed");
+            throw new SignallingException(
+                    M3ua.PARAMETER_FIELD_ERROR,
+                    "protocol data of " + value.length + " octets, at least " + LABEL + " are needed");
         }
         ByteBuffer in = ByteBuffer.wrap(value);
         int opc = in.getInt();
         int dpc = in.getInt();
         int service = in.get();
         if (service != SERVICE_ISUP) {
-            throw new SignallingException(M3ua.INVALID_PARAMETER, "service indicator " + service
-                    + ", expected " + SERVICE_ISUP);
+            throw new SignallingException(
+                    M3ua.INVALID_PARAMETER, "service indicator " + service + ", expected " + SERVICE_ISUP);
         }
         in.get();
         in.get();
--- a/src/main/java/damsonseam/ss7/TrunkGroup.java
+++ b/src/main/java/damsonseam/ss7/TrunkGroup.java
@@ -30,7 +30,13 @@
         void stands(double now, long call, int attempt, Report report);
 
         /** The attempt, or the standing call, was ended by the far end or with the connection. */
-        void ended(double now, long call, int attempt, Result result, Reason reason, OptionalDouble toldWait,
+        void ended(
+                double now,
+                long call,
+                int attempt,
+                Result result,
+                Reason reason,
+                OptionalDouble toldWait,
                 Report report);
 
         /** The far end has the release of an attempt: it completed it, released too, or is gone. */
@@ -49,7 +55,12 @@
         public static final Times Q764 = new Times(15_000, 300_000, 300_000);
     }
 
-    private enum State { SETTING_UP, ANSWERED, RELEASING, RESETTING }
+    private enum State {
+        SETTING_UP,
+        ANSWERED,
+        RELEASING,
+        RESETTING
+    }
 
     /** A circuit that is not idle. */
     private static final class Busy {
@@ -77,6 +88,7 @@
     private final Long2ObjectHashMap<Busy> byCall = new Long2ObjectHashMap<>();
     /** Circuits that must be reset once there is a connection, and how many resets are in flight. */
     private final BitSet toReset = new BitSet();
+
     private int resetsOut;
     private boolean connected;
     private long confused;
@@ -189,8 +201,7 @@
             }
             b.state = State.RELEASING;
             if (told && byCall.remove(b.call) != null) {
-                out.ended(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(),
-                        Report.NONE);
+                out.ended(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
             }
         }
     }
@@ -279,8 +290,14 @@
         byCall.remove(b.call);
         idle(b, now);
         int cause = cause(message);
-        out.ended(now, b.call, b.attempt, result(cause, answered), reason(cause, answered),
-                OptionalDouble.empty(), LoadReport.decode(message));
+        out.ended(
+                now,
+                b.call,
+                b.attempt,
+                result(cause, answered),
+                reason(cause, answered),
+                OptionalDouble.empty(),
+                LoadReport.decode(message));
     }
 
     /**
@@ -347,13 +364,11 @@
         if (b == null) {
             return;
         }
-        boolean told = (b.state == State.SETTING_UP || b.state == State.ANSWERED)
-                && byCall.remove(b.call) != null;
+        boolean told = (b.state == State.SETTING_UP || b.state == State.ANSWERED) && byCall.remove(b.call) != null;
         idle(b, now);
         out.released(now, b.call, b.attempt);
         if (told) {
-            out.ended(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(),
-                    Report.NONE);
+            out.ended(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
         }
     }
 
@@ -383,8 +398,7 @@
             // The other end controls this circuit: our attempt never ran, theirs is turned away.
             byCall.remove(b.call);
             startRelease(b, Isup.NO_CIRCUIT, now);
-            out.ended(now, b.call, b.attempt, Result.FULL, Reason.NO_LINE, OptionalDouble.empty(),
-                    Report.NONE);
+            out.ended(now, b.call, b.attempt, Result.FULL, Reason.NO_LINE, OptionalDouble.empty(), Report.NONE);
             return;
         }
         if (b == null) {
--- a/src/main/java/damsonseam/standin/CalculatorSettings.java
+++ b/src/main/java/damsonseam/standin/CalculatorSettings.java
@@ -18,8 +18,17 @@
  * @param tipWindow time for which it must be sent that
  * @param reportEvery how often its load report is made anew
  */
-public record CalculatorSettings(Double callsPerS, Double setUpShare, Double rejectShare, Span probeWork,
-        Span turnAwayAfter, Integer lines, Double coldFrom, Span warmWithin, Double tipMultiple, Span tipWindow,
+public record CalculatorSettings(
+        Double callsPerS,
+        Double setUpShare,
+        Double rejectShare,
+        Span probeWork,
+        Span turnAwayAfter,
+        Integer lines,
+        Double coldFrom,
+        Span warmWithin,
+        Double tipMultiple,
+        Span tipWindow,
         Span reportEvery) {
     /** Checks and defaults. */
     public CalculatorSettings {
--- a/src/main/java/damsonseam/standin/DirectoryServer.java
+++ b/src/main/java/damsonseam/standin/DirectoryServer.java
@@ -29,7 +29,7 @@
     private static final int KEPT_VERSIONS = 1_000;
 
     /** A calculator as the directory lists it. */
-    public record Listed(String id, int number, String address, int pointCode) { }
+    public record Listed(String id, int number, String address, int pointCode) {}
 
     private final WireLog wire;
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(r -> {
@@ -58,8 +58,10 @@
         if (address == null) {
             address = LoopbackPorts.lasting(at);
         }
-        server = NettyServerBuilder.forAddress(address).addService(new Service())
-                .permitKeepAliveTime(5, java.util.concurrent.TimeUnit.SECONDS).build()
+        server = NettyServerBuilder.forAddress(address)
+                .addService(new Service())
+                .permitKeepAliveTime(5, java.util.concurrent.TimeUnit.SECONDS)
+                .build()
                 .start();
         return address;
     }
@@ -88,8 +90,8 @@
     /** A change of a calculator, told after the notice; a cold start of its processor is told by its age. */
     public void set(Listed calculator, State state, boolean startsNow) {
         long at = System.nanoTime();
-        thread.execute(() -> thread.schedule(() -> apply(calculator, state, startsNow ? at : 0), noticeMs,
-                TimeUnit.MILLISECONDS));
+        thread.execute(() ->
+                thread.schedule(() -> apply(calculator, state, startsNow ? at : 0), noticeMs, TimeUnit.MILLISECONDS));
     }
 
     /** A change that is told at once. */
@@ -98,8 +100,13 @@
     }
 
     private void apply(Listed c, State state, long started) {
-        Entry entry = Entry.newBuilder().setServer(c.id()).setNumber(c.number()).setAddress(c.address())
-                .setPointCode(c.pointCode()).setState(state).build();
+        Entry entry = Entry.newBuilder()
+                .setServer(c.id())
+                .setNumber(c.number())
+                .setAddress(c.address())
+                .setPointCode(c.pointCode())
+                .setState(state)
+                .build();
         if (started != 0) {
             startedAt.put(c.id(), started);
         }
@@ -114,15 +121,24 @@
             changes.remove(0);
         }
         if (!silent) {
-            followers.keySet().forEach(f -> send(f, Update.newBuilder().setVersion(version)
-                    .addEntries(aged(entry)).build()));
+            followers
+                    .keySet()
+                    .forEach(f -> send(
+                            f,
+                            Update.newBuilder()
+                                    .setVersion(version)
+                                    .addEntries(aged(entry))
+                                    .build()));
         }
     }
 
     private Entry aged(Entry entry) {
         Long started = startedAt.get(entry.getServer());
-        return started == null ? entry
-                : entry.toBuilder().setAgeMs((System.nanoTime() - started) / 1_000_000).build();
+        return started == null
+                ? entry
+                : entry.toBuilder()
+                        .setAgeMs((System.nanoTime() - started) / 1_000_000)
+                        .build();
     }
 
     private Update fullList() {
@@ -172,8 +188,8 @@
     private final class Service extends PoolDirectoryGrpc.PoolDirectoryImplBase {
         @Override
         public void follow(FollowRequest request, StreamObserver<Update> to) {
-            ((ServerCallStreamObserver<Update>) to).setOnCancelHandler(() -> thread.execute(() ->
-                    followers.remove(request.getFront(), to)));
+            ((ServerCallStreamObserver<Update>) to)
+                    .setOnCancelHandler(() -> thread.execute(() -> followers.remove(request.getFront(), to)));
             thread.execute(() -> {
                 followers.put(request.getFront(), to);
                 if (silent) {
@@ -183,8 +199,13 @@
                 long oldest = changes.isEmpty() ? version + 1 : changes.get(0).getVersion();
                 if (known > 0 && known <= version && known + 1 >= oldest) {
                     // All that it missed is still here.
-                    changes.stream().filter(u -> u.getVersion() > known).forEach(u -> send(request.getFront(),
-                            u.toBuilder().setEntries(0, aged(u.getEntries(0))).build()));
+                    changes.stream()
+                            .filter(u -> u.getVersion() > known)
+                            .forEach(u -> send(
+                                    request.getFront(),
+                                    u.toBuilder()
+                                            .setEntries(0, aged(u.getEntries(0)))
+                                            .build()));
                 } else {
                     send(request.getFront(), fullList());
                 }
--- a/src/main/java/damsonseam/standin/LoopbackPorts.java
+++ b/src/main/java/damsonseam/standin/LoopbackPorts.java
@@ -16,7 +16,7 @@
     private static final int BEYOND = 32_000;
     private static final int TRIES = 200;
 
-    private LoopbackPorts() { }
+    private LoopbackPorts() {}
 
     /** The address as it is, or with a free port of the range in the place of port 0. */
     static InetSocketAddress lasting(InetSocketAddress at) throws IOException {
--- a/src/main/java/damsonseam/standin/Processor.java
+++ b/src/main/java/damsonseam/standin/Processor.java
@@ -9,6 +9,7 @@
 final class Processor {
     /** Span over which the busy share is measured, in milliseconds. */
     private static final double BUSY_SPAN = 500;
+
     private static final double NEAR = 0.5;
 
     /** Asks the owner to call {@link #wake} at this time. */
