--- a/src/main/java/damsonseam/Decide.java
+++ b/src/main/java/damsonseam/CongestionControlPolicy.java
@@ -18,11 +18,11 @@
 
 /**
  * All decisions of one front: which server gets a call and when, or that it is held, refused or failed. The
- * interface is {@link Front} ({@code Front.java}). The mechanism is the congestion control of docs/DESIGN.md:
+ * interface is {@link RoutingPolicy}. The mechanism is the congestion control of docs/DESIGN.md:
  * each server has, for each rank of worth, an onset level T, an abatement level A below it and a discard
  * level D above it, on the wait that this front estimates from its own set-ups. Times are in milliseconds.
  */
-public final class Decide implements Front {
+public final class CongestionControlPolicy implements RoutingPolicy {
 
     // ---- Parameters -------------------------------------------------------------------------------------
 
@@ -79,8 +79,8 @@
     private static final long SWEEP_TOKEN = 1;
     private static final long LIST_TOKEN = 2;
 
-    private final Settings settings;
-    private final Actions act;
+    private final PolicySettings settings;
+    private final PolicyActions act;
     private final SplittableRandom random;
     private final double guard;
     private final double margin;
@@ -212,9 +212,9 @@
             id = call.id();
             callClass = call.callClass();
             number = call.number();
-            firstChoice = call.firstChoice();
+            firstChoice = call.firstChoiceIndex();
             inTransit = call.inTransit();
-            mayUse = call.servers().stream().sorted().toList();
+            mayUse = call.allowedServers().stream().sorted().toList();
             arrived = now;
             this.deadline = deadline;
             this.aimBy = aimBy;
@@ -225,7 +225,7 @@
     private static final class Core {
         final String id;
         int number;
-        State state = State.RUNNING;
+        ServerState state = ServerState.RUNNING;
         boolean down;
         boolean releasing;
         int badEndings;
@@ -263,14 +263,14 @@
     }
 
     /** An absent setting is read the careful way. */
-    public Decide(Settings settings, Actions actions) {
+    public CongestionControlPolicy(PolicySettings settings, PolicyActions actions) {
         this.settings = settings;
         act = actions;
         random = new SplittableRandom(settings.seed());
         guard = settings.releaseGuard().orElse(0) + settings.tick().orElse(0);
         margin = SWEEP + 2 * settings.tick().orElse(0);
-        coldFrom = Math.max(0.05, Math.min(1, settings.coldFrom().orElse(0.25)));
-        warmWithin = Math.max(0, settings.warmWithin().orElse(20_000));
+        coldFrom = Math.max(0.05, Math.min(1, settings.coldCapacityShare().orElse(0.25)));
+        warmWithin = Math.max(0, settings.warmUpTime().orElse(20_000));
         maxAttempts = Math.max(1, settings.maxAttempts().orElse(1));
         fronts = Math.max(1, settings.fronts().orElse(1));
         mayCancel = settings.mayCancel().orElse(false);
@@ -285,11 +285,11 @@
         worths = distinct.stream().mapToDouble(Double::doubleValue).toArray();
         double byAim = ROOM_OF_AIM * (least == Double.POSITIVE_INFINITY ? UNSET_AIM : least);
         // A set-up repeated because it waited is work for nothing: the room ends before the repeat.
-        double resend = settings.resendAfter().orElse(0);
+        double resend = settings.retransmitAfter().orElse(0);
         room = resend > 0 ? Math.min(byAim, resend) : byAim;
         usualTime = new double[settings.classes().size()];
-        if (settings.listOnRequest().orElse(false)) {
-            act.followList();
+        if (settings.serverListOnRequest().orElse(false)) {
+            act.followServerList();
         }
     }
 
@@ -300,17 +300,17 @@
     // ---- Events -----------------------------------------------------------------------------------------
 
     @Override
-    public void serverList(double now, boolean full, List<ServerEntry> entries) {
+    public void onServerListUpdate(double now, boolean full, List<ServerEntry> entries) {
         paused(now);
         usable.clear();
         if (full) {
             TreeSet<String> named = new TreeSet<>();
             entries.forEach(e -> named.add(e.id()));
-            servers.values().stream().filter(s -> !named.contains(s.id)).forEach(s -> s.state = State.GONE);
+            servers.values().stream().filter(s -> !named.contains(s.id)).forEach(s -> s.state = ServerState.GONE);
         }
         for (ServerEntry e : entries) {
             Core s = servers.computeIfAbsent(e.id(), id -> new Core(id, worths.length));
-            s.number = e.number();
+            s.number = e.index();
             s.state = e.state();
             double started = e.startedAt().orElse(Double.NEGATIVE_INFINITY);
             if (started > s.startedAt) {
@@ -318,22 +318,22 @@
             }
         }
         if (servers.size() > MOST_SERVERS) {
-            servers.values().removeIf(s -> s.state == State.GONE);
+            servers.values().removeIf(s -> s.state == ServerState.GONE);
         }
     }
 
     @Override
-    public void listFailed(double now) {
-        act.timer(LIST_AGAIN, LIST_TOKEN);
+    public void onServerListFailure(double now) {
+        act.startTimer(LIST_AGAIN, LIST_TOKEN);
     }
 
     @Override
-    public void offered(double now, Call call) {
+    public void onCallOffered(double now, Call call) {
         paused(now);
         CallClass c = settings.classes().get(call.callClass());
         // Guards against many calls for one number: while its lines are busy, a set-up for it is wasted.
         if (busyNumbers.has(call.number(), now)) {
-            act.refuse(call.id(), returnAdvice());
+            act.refuseCall(call.id(), returnAdvice());
             return;
         }
         // A front that stood still is handed its calls late: their time left is short of the usual by that.
@@ -349,7 +349,7 @@
     }
 
     @Override
-    public void stands(double now, long id, String server, int attempt, double delay) {
+    public void onCallEstablished(double now, long id, String server, int attempt, double delay) {
         paused(now);
         Core s = servers.get(server);
         if (s != null) {
@@ -359,24 +359,24 @@
     }
 
     @Override
-    public void ended(double now, Ending e) {
+    public void onAttemptOutcome(double now, AttemptOutcome e) {
         paused(now);
-        Core s = servers.get(e.server());
-        Held held = calls.get(e.call());
-        boolean wasOut = held != null && held.out != null && held.out.id.equals(e.server());
+        Core s = servers.get(e.serverId());
+        Held held = calls.get(e.callId());
+        boolean wasOut = held != null && held.out != null && held.out.id.equals(e.serverId());
         if (s != null) {
             judge(s, e, wasOut, now);
         }
-        if (e.last()) {
-            calls.remove(e.call());
+        if (e.terminal()) {
+            calls.remove(e.callId());
             return;
         }
         if (held == null) {
             // It stood, and a cancel that was on its way to it then took effect: its answer is owed again.
-            act.fail(e.call());
+            act.failCall(e.callId());
             return;
         }
-        if (e.reason() == Reason.NUMBER_BUSY) {
+        if (e.reason() == RejectReason.NUMBER_BUSY) {
             busyNumbers.merge(held.number, now + spell(), Math::max);
         }
         held.out = null;
@@ -384,25 +384,27 @@
         lost.remove(held.id);
         held.avoid = s;
         held.moved = true;
-        if (e.result() == Result.TIMED_OUT || e.result() == Result.RESET || e.result() == Result.CANCELLED) {
+        if (e.status() == AttemptStatus.TIMED_OUT
+                || e.status() == AttemptStatus.RESET
+                || e.status() == AttemptStatus.CANCELLED) {
             // Release awaited: what the attempt held may stay taken until the guard time has passed.
             held.notBefore = now + guard;
         }
-        boolean hopeless = e.reason() == Reason.NUMBER_BUSY
+        boolean hopeless = e.reason() == RejectReason.NUMBER_BUSY
                 || held.attempts >= maxAttempts
                 || Math.max(now, held.notBefore) >= held.deadline
                 || held.inTransit;
         if (hopeless) {
             calls.remove(held.id);
             unserved(held);
-            act.fail(held.id);
+            act.failCall(held.id);
         } else {
             fresh.add(held);
         }
     }
 
     @Override
-    public void left(double now, long call) {
+    public void onCallAbandoned(double now, long call) {
         paused(now);
         Held held = calls.remove(call);
         if (held != null) {
@@ -412,7 +414,8 @@
     }
 
     @Override
-    public void probed(double now, String server, boolean asked, boolean answered, double delay, Report report) {
+    public void onProbeResult(
+            double now, String server, boolean asked, boolean answered, double delay, ServerLoadReport report) {
         paused(now);
         Core s = servers.get(server);
         if (s == null) {
@@ -427,29 +430,29 @@
     }
 
     @Override
-    public void message(double now, int from, byte[] body) {} // Nothing is believed from other fronts.
+    public void onMessage(double now, int from, byte[] body) {} // Nothing is believed from other fronts.
 
     @Override
-    public void timer(double now, long token) {
+    public void onTimer(double now, long token) {
         paused(now);
         if (token == LIST_TOKEN) {
-            act.followList();
+            act.followServerList();
             return;
         }
         beatAt = Double.POSITIVE_INFINITY;
     }
 
     @Override
-    public void settled(double now) {
+    public void onBatchEnd(double now) {
         paused(now);
         measure(now);
         lost.removeIf(id -> !calls.containsKey(id) || calls.get(id).out == null);
         lost.forEach(id -> callBack(calls.get(id), now));
         for (Core s : servers.values()) {
             watch(s, now);
-            if (s.down && mayProbe && now >= s.testedAt + testGap(s) && s.state == State.RUNNING) {
+            if (s.down && mayProbe && now >= s.testedAt + testGap(s) && s.state == ServerState.RUNNING) {
                 s.testedAt = now;
-                act.probe(s.id);
+                act.sendProbe(s.id);
             }
         }
         rankAll(now);
@@ -457,7 +460,7 @@
         boolean out = servers.values().stream().anyMatch(s -> !s.unanswered.isEmpty());
         if ((out || !byDeadline.isEmpty()) && beatAt == Double.POSITIVE_INFINITY) {
             beatAt = now + SWEEP;
-            act.timer(SWEEP, SWEEP_TOKEN);
+            act.startTimer(SWEEP, SWEEP_TOKEN);
         }
     }
 
@@ -578,7 +581,7 @@
     }
 
     /** A reported wait comes late, and may miss a line that is filling: it only ever raises the estimate. */
-    private void readReport(Core s, Report report, double now) {
+    private void readReport(Core s, ServerLoadReport report, double now) {
         if (report.freeLines().isPresent()) {
             s.freeLines = report.freeLines().getAsDouble();
             s.lines = report.lines().orElse(s.lines);
@@ -589,11 +592,12 @@
             s.linesAt = now;
         }
         // Set-ups waiting there are so many turns of all fronts, longer ones where the server is slow.
-        double each = Math.min(1, report.busy().orElse(1)) * turn(s) * Math.max(1, s.squeeze) / fronts;
-        double wait = report.processorWait().orElse(report.waiting().orElse(0) * each);
-        boolean told = report.processorWait().isPresent() || report.waiting().isPresent();
-        if (told && (report.busy().orElse(0) < BUSY || wait >= onset(s, 0))) {
-            observe(s, wait, Math.min(RELAX, report.busy().orElse(RELAX) / BUSY), now);
+        double each = Math.min(1, report.utilization().orElse(1)) * turn(s) * Math.max(1, s.squeeze) / fronts;
+        double wait = report.processorWait().orElse(report.queueLength().orElse(0) * each);
+        boolean told =
+                report.processorWait().isPresent() || report.queueLength().isPresent();
+        if (told && (report.utilization().orElse(0) < BUSY || wait >= onset(s, 0))) {
+            observe(s, wait, Math.min(RELAX, report.utilization().orElse(RELAX) / BUSY), now);
         }
         if (wait > fallen(s, now)) {
             setEstimate(s, fallen(s, now) + FAST * (wait - fallen(s, now)), now);
@@ -615,39 +619,39 @@
     }
 
     /** What an ending tells of the server. */
-    private void judge(Core s, Ending e, boolean wasOut, double now) {
-        if (e.result() != Result.COMPLETED && e.result() != Result.ERROR) {
-            s.unanswered.remove(e.call());
+    private void judge(Core s, AttemptOutcome e, boolean wasOut, double now) {
+        if (e.status() != AttemptStatus.COMPLETED && e.status() != AttemptStatus.ERROR) {
+            s.unanswered.remove(e.callId());
         }
-        switch (e.result()) {
+        switch (e.status()) {
             case COMPLETED, ERROR -> {
-                if (e.result() == Result.COMPLETED) {
+                if (e.status() == AttemptStatus.COMPLETED) {
                     callTime += e.delay();
                     callsEnded++;
                 }
-                answered(s, e.call(), e.delay(), now, false);
+                answered(s, e.callId(), e.delay(), now, false);
                 readReport(s, e.report(), now);
             }
             case FULL -> {
                 readReport(s, e.report(), now);
                 s.answeredAt = now;
-                if (e.reason() == Reason.NO_LINE) {
+                if (e.reason() == RejectReason.NO_LINE) {
                     s.freeLines = 0;
                     s.linesAt = now;
                 }
-                if (e.reason() == Reason.PROCESSOR_FULL || e.reason() == Reason.BEYOND_FULL) {
+                if (e.reason() == RejectReason.PROCESSOR_FULL || e.reason() == RejectReason.BEYOND_FULL) {
                     // A notice: every rank but the top stops until abatement; a told wait stops all.
                     // Guards against a server that turns all away at once: notices in a row, with nothing
                     // standing between them, close it the longer, so that its quick answers draw no calls.
                     s.notices++;
                     double closed = room * (1 + Math.min(s.notices, 2 * DOWN_AFTER));
                     setEstimate(s, Math.max(wait(s, now), closed), now);
-                    s.toldUntil = Math.max(s.toldUntil, now + e.toldWait().orElse(0));
+                    s.toldUntil = Math.max(s.toldUntil, now + e.retryAfter().orElse(0));
                     squeeze(s, room, now);
                 }
             }
             case TIMED_OUT, CANCELLED -> {
-                if (wasOut && !lost.contains(e.call())) {
+                if (wasOut && !lost.contains(e.callId())) {
                     // What the silence had proved stays true when its set-up is given up.
                     setEstimate(s, Math.max(wait(s, now), e.delay() - way(s)), now);
                     squeeze(s, room, now);
@@ -658,7 +662,7 @@
             }
             case RESET, UNREACHABLE -> {
                 // A set-up that breaks after later ones were answered broke on its way: the process is alive.
-                if (e.result() == Result.UNREACHABLE || s.answeredAt < now - e.delay()) {
+                if (e.status() == AttemptStatus.UNREACHABLE || s.answeredAt < now - e.delay()) {
                     s.died = true;
                     badEnding(s, now);
                 }
@@ -804,8 +808,9 @@
     }
 
     private List<Core> findUsable(Held held) {
-        List<Integer> allowed = settings.classes().get(held.callClass).servers().orElse(List.of());
-        int own = settings.ownNumber().orElse(-1);
+        List<Integer> allowed =
+                settings.classes().get(held.callClass).allowedServers().orElse(List.of());
+        int own = settings.ownIndex().orElse(-1);
         List<Core> list = new ArrayList<>();
         for (Core s : servers.values()) {
             boolean may = held.inTransit
@@ -813,7 +818,7 @@
                     : (own < 0 || s.number != own)
                             && (allowed.isEmpty() || allowed.contains(s.number))
                             && (held.mayUse.isEmpty() || held.mayUse.contains(s.number));
-            if (may && s.state == State.RUNNING) {
+            if (may && s.state == ServerState.RUNNING) {
                 list.add(s);
             }
         }
@@ -900,7 +905,7 @@
         double used = 0;
         double lines = 0;
         for (Core s : servers.values()) {
-            if (s.state == State.RUNNING && !s.down) {
+            if (s.state == ServerState.RUNNING && !s.down) {
                 lead = Math.min(lead, way(s) + Math.min(room, Math.max(wait(s, now), onset(s, 0))));
                 used += s.used;
                 lines += s.lines;
@@ -910,7 +915,7 @@
         fill = lines > 0 ? used / lines : 0;
         allSizes = 0;
         for (Core s : servers.values()) {
-            allSizes += s.state == State.RUNNING && !s.down ? size(s) : 0;
+            allSizes += s.state == ServerState.RUNNING && !s.down ? size(s) : 0;
         }
     }
 
@@ -933,7 +938,7 @@
         release(held);
         calls.remove(held.id);
         unserved(held);
-        act.refuse(held.id, returnAdvice());
+        act.refuseCall(held.id, returnAdvice());
     }
 
     /** A caller who got no service dials again, marked or not, and is late by then. */
@@ -945,7 +950,7 @@
 
     /** Redials are spread, or they come back in step. */
     private double returnAdvice() {
-        return settings.maxReturnAdvice().orElse(0) * (0.5 + 0.5 * random.nextDouble());
+        return settings.maxRetryAfter().orElse(0) * (0.5 + 0.5 * random.nextDouble());
     }
 
     /**
@@ -1031,7 +1036,7 @@
         s.unanswered.put(held.id, now - asleep);
         s.tokens--;
         s.freeLines = Math.max(0, s.freeLines - 1);
-        act.send(held.id, s.id, held.deadline);
+        act.sendSetUp(held.id, s.id, held.deadline);
     }
 
     // ---- Guards -----------------------------------------------------------------------------------------
@@ -1054,7 +1059,7 @@
         boolean timeToMove = now + guard + room < held.deadline && held.attempts < maxAttempts;
         if (mayCancel && timeToMove && !held.cancelling) {
             held.cancelling = true;
-            act.cancel(held.id, held.attempts - 1);
+            act.cancelAttempt(held.id, held.attempts - 1);
         }
     }
 
@@ -1098,7 +1103,7 @@
         }
         s.squeeze -= Math.max(0, s.squeeze - 1) * (1 - Math.exp((s.tokensAt - now) / SQUEEZE_SPAN));
         double share =
-                warmth < 1 ? warmth * BUDGET_SHARE * settings.tipMultiple().orElse(1) : 1;
+                warmth < 1 ? warmth * BUDGET_SHARE * settings.overloadMultiple().orElse(1) : 1;
         double rate = Math.min(share, s.squeeze > 0 ? 1 / s.squeeze : share) / turn(s);
         s.tokens = Math.min(1, Math.max(-1, s.tokens) + rate * (now - s.tokensAt));
         s.tokensAt = now;
--- a/src/main/java/damsonseam/Front.java
+++ b/src/main/java/damsonseam/RoutingPolicy.java
@@ -7,54 +7,55 @@
 
 /**
  * What a front tells its decision module. Each method is one event; {@code now} is the front's own clock in
- * milliseconds, which starts anywhere and never runs backwards. The module answers through {@link Actions},
+ * milliseconds, which starts anywhere and never runs backwards. The module answers through {@link PolicyActions},
  * during the call of the event or not at all. Durations are in milliseconds. An optional value that is empty
  * was not given. One object serves one front; it holds no threads and reads no clock.
  */
-public interface Front {
+public interface RoutingPolicy {
 
     /** News of the servers. With {@code full} the list replaces the old one, else it holds the changes. */
-    void serverList(double now, boolean full, List<ServerEntry> entries);
+    void onServerListUpdate(double now, boolean full, List<ServerEntry> entries);
 
     /** A request for the list, or for its changes, failed; the old list stays. */
-    void listFailed(double now);
+    void onServerListFailure(double now);
 
     /** A call is handed to this front, which owes it one final answer or a set-up that stands. */
-    void offered(double now, Call call);
+    void onCallOffered(double now, Call call);
 
     /** The attempt succeeded: the call stands, and its set-up took {@code delay}. */
-    void stands(double now, long call, String server, int attempt, double delay);
+    void onCallEstablished(double now, long call, String server, int attempt, double delay);
 
     /** An attempt, or a standing call, came to its end. */
-    void ended(double now, Ending ending);
+    void onAttemptOutcome(double now, AttemptOutcome ending);
 
     /** The caller went away; nothing more is owed. */
-    void left(double now, long call);
+    void onCallAbandoned(double now, long call);
 
     /** The answer to a probe; {@code asked} is false for news that came without one. */
-    void probed(double now, String server, boolean asked, boolean answered, double delay, Report report);
+    void onProbeResult(
+            double now, String server, boolean asked, boolean answered, double delay, ServerLoadReport report);
 
     /** A message from another front. */
-    void message(double now, int from, byte[] body);
+    void onMessage(double now, int from, byte[] body);
 
-    /** A timer set by {@link Actions#timer} is due. */
-    void timer(double now, long token);
+    /** A timer set by {@link PolicyActions#startTimer} is due. */
+    void onTimer(double now, long token);
 
     /**
      * All events of this moment have been handed over. The module sends and calls back here only, so that it
      * never acts on half the news of a moment; call it after each event, or after all that came at once.
      */
-    void settled(double now);
+    void onBatchEnd(double now);
 
     /** Whether a server takes work. */
-    enum State {
+    enum ServerState {
         RUNNING,
         DRAINING,
         GONE
     }
 
     /** How an attempt ended. */
-    enum Result {
+    enum AttemptStatus {
         COMPLETED,
         ERROR,
         FULL,
@@ -66,7 +67,7 @@
     }
 
     /** Why a call was turned away, where the ending says so. */
-    enum Reason {
+    enum RejectReason {
         NONE,
         NO_LINE,
         BEYOND_FULL,
@@ -75,7 +76,7 @@
     }
 
     /** One server of the list. {@code number} is what a call's {@code firstChoice} refers to. */
-    record ServerEntry(String id, int number, OptionalDouble startedAt, State state) {}
+    record ServerEntry(String id, int index, OptionalDouble startedAt, ServerState state) {}
 
     /**
      * A call handed to this front. {@code timeLeft} runs until the caller gives this try up; {@code servers}
@@ -85,11 +86,11 @@
             long id,
             String number,
             int callClass,
-            int firstChoice,
+            int firstChoiceIndex,
             double timeLeft,
             boolean redialled,
             boolean inTransit,
-            List<Integer> servers) {
+            List<Integer> allowedServers) {
         /** A call that may use any server of its class. */
         public Call(
                 long id,
@@ -104,26 +105,26 @@
     }
 
     /** The end of an attempt. With {@code last} the call is over, else the front still owes its answer. */
-    record Ending(
-            long call,
-            String server,
+    record AttemptOutcome(
+            long callId,
+            String serverId,
             int attempt,
             double delay,
-            Result result,
-            Reason reason,
-            OptionalDouble toldWait,
-            boolean last,
-            Report report) {}
+            AttemptStatus status,
+            RejectReason reason,
+            OptionalDouble retryAfter,
+            boolean terminal,
+            ServerLoadReport report) {}
 
     /** A server's figures of itself, late and inexact; what is not reported is empty. */
-    record Report(
+    record ServerLoadReport(
             OptionalDouble freeLines,
             OptionalDouble lines,
             OptionalDouble processorWait,
-            OptionalDouble busy,
-            OptionalDouble waiting) {
+            OptionalDouble utilization,
+            OptionalDouble queueLength) {
         /** A report that says nothing. */
-        public static final Report NONE = new Report(
+        public static final ServerLoadReport NONE = new ServerLoadReport(
                 OptionalDouble.empty(),
                 OptionalDouble.empty(),
                 OptionalDouble.empty(),
@@ -137,54 +138,54 @@
             OptionalDouble deadline,
             OptionalDouble worth,
             OptionalDouble lateShare,
-            Optional<List<Integer>> servers) {}
+            Optional<List<Integer>> allowedServers) {}
 
     /** What is known when the front starts. */
-    record Settings(
+    record PolicySettings(
             long seed,
             OptionalInt fronts,
             List<CallClass> classes,
-            OptionalInt ownNumber,
+            OptionalInt ownIndex,
             OptionalInt maxAttempts,
             Optional<Boolean> mayCancel,
             Optional<Boolean> mayProbe,
             Optional<Boolean> mayMessage,
-            Optional<Boolean> listOnRequest,
+            Optional<Boolean> serverListOnRequest,
             OptionalDouble tick,
             OptionalDouble answerSlack,
-            OptionalDouble drainGrace,
-            OptionalDouble coldFrom,
-            OptionalDouble warmWithin,
-            OptionalDouble tipMultiple,
-            OptionalDouble tipWindow,
+            OptionalDouble drainGracePeriod,
+            OptionalDouble coldCapacityShare,
+            OptionalDouble warmUpTime,
+            OptionalDouble overloadMultiple,
+            OptionalDouble overloadWindow,
             OptionalDouble releaseGuard,
-            OptionalDouble resendAfter,
-            OptionalDouble maxReturnAdvice) {}
+            OptionalDouble retransmitAfter,
+            OptionalDouble maxRetryAfter) {}
 
     /** What the module asks of its front. */
-    interface Actions {
+    interface PolicyActions {
         /** Sends a set-up, to be abandoned at {@code abandonAt} on the front's clock. */
-        void send(long call, String server, double abandonAt);
+        void sendSetUp(long call, String server, double abandonAt);
 
         /** Final answer: refused, with advice how long to stay away (0 for none). */
-        void refuse(long call, double returnAfter);
+        void refuseCall(long call, double returnAfter);
 
         /** Final answer: given up. */
-        void fail(long call);
+        void failCall(long call);
 
         /** Ceases to wait for an attempt. */
-        void cancel(long call, int attempt);
+        void cancelAttempt(long call, int attempt);
 
         /** Asks for a timer event. */
-        void timer(double after, long token);
+        void startTimer(double after, long token);
 
         /** Probes a server. */
-        void probe(String server);
+        void sendProbe(String server);
 
         /** Asks for the whole list once. */
-        void fetchList();
+        void fetchServerList();
 
         /** Asks for changes of the list from now on. */
-        void followList();
+        void followServerList();
     }
 }
--- a/src/main/java/damsonseam/adapter/Main.java
+++ b/src/main/java/damsonseam/adapter/Main.java
@@ -21,8 +21,8 @@
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
         BufferedWriter out = new BufferedWriter(new OutputStreamWriter(System.out, StandardCharsets.UTF_8), 1 << 16);
         try {
-            new Wire(in, out).run();
-        } catch (WireException | IOException e) {
+            new WireAdapter(in, out).run();
+        } catch (WireFormatException | IOException e) {
             System.err.println("damsonseam: " + e.getMessage());
             System.exit(1);
         }
--- a/src/main/java/damsonseam/adapter/Reply.java
+++ b/src/main/java/damsonseam/adapter/ReplyWriter.java
@@ -1,13 +1,13 @@
 package damsonseam.adapter;
 
-import damsonseam.Front.Actions;
+import damsonseam.RoutingPolicy.PolicyActions;
 
 /** Writes the actions of one instance into the reply to the current batch. */
-final class Reply implements Actions {
+final class ReplyWriter implements PolicyActions {
     private final StringBuilder out;
     private final int instance;
 
-    Reply(StringBuilder out, int instance) {
+    ReplyWriter(StringBuilder out, int instance) {
         this.out = out;
         this.instance = instance;
     }
@@ -17,7 +17,7 @@
     }
 
     @Override
-    public void send(long call, String server, double abandonAt) {
+    public void sendSetUp(long call, String server, double abandonAt) {
         action("issue")
                 .append(' ')
                 .append(call)
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public void refuse(long call, double returnAfter) {
+    public void refuseCall(long call, double returnAfter) {
         action("overload_reply")
                 .append(' ')
                 .append(call)
@@ -39,12 +39,12 @@
     }
 
     @Override
-    public void fail(long call) {
+    public void failCall(long call) {
         action("fail").append(' ').append(call).append('\n');
     }
 
     @Override
-    public void cancel(long call, int attempt) {
+    public void cancelAttempt(long call, int attempt) {
         action("stop_attempt")
                 .append(' ')
                 .append(call)
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void timer(double after, long token) {
+    public void startTimer(double after, long token) {
         action("defer")
                 .append(' ')
                 .append(time(after))
@@ -64,17 +64,17 @@
     }
 
     @Override
-    public void probe(String server) {
+    public void sendProbe(String server) {
         action("check").append(' ').append(server).append('\n');
     }
 
     @Override
-    public void fetchList() {
+    public void fetchServerList() {
         action("get_list").append('\n');
     }
 
     @Override
-    public void followList() {
+    public void followServerList() {
         action("keep_informed").append(" 1\n");
     }
 
--- a/src/main/java/damsonseam/adapter/Wire.java
+++ b/src/main/java/damsonseam/adapter/WireAdapter.java
@@ -1,14 +1,14 @@
 package damsonseam.adapter;
 
-import damsonseam.Decide;
-import damsonseam.Front;
-import damsonseam.Front.Call;
-import damsonseam.Front.Ending;
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.ServerEntry;
-import damsonseam.Front.State;
+import damsonseam.CongestionControlPolicy;
+import damsonseam.RoutingPolicy;
+import damsonseam.RoutingPolicy.AttemptOutcome;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.Call;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerEntry;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.settings.ReportFields;
 import damsonseam.settings.StartSettings;
 import java.io.BufferedReader;
@@ -24,13 +24,13 @@
 import java.util.Set;
 
 /** Reads batches of events, hands each event to its instance, and writes one reply a batch. */
-final class Wire {
+final class WireAdapter {
     private static final int REDIALLED = 2;
     private static final int IN_TRANSIT = 8;
     private static final int NOTE_BITS = 16;
     private static final int NOTE_BEYOND_FULL = 18;
 
-    private record Instance(Front front, ReportFields reportFields) {}
+    private record Instance(RoutingPolicy front, ReportFields reportFields) {}
 
     private final BufferedReader in;
     private final Writer out;
@@ -43,13 +43,13 @@
     private long lineNumber;
     private double now = Double.NEGATIVE_INFINITY;
 
-    Wire(BufferedReader in, Writer out) {
+    WireAdapter(BufferedReader in, Writer out) {
         this.in = in;
         this.out = out;
     }
 
     void run() throws IOException {
-        for (Line line = next(); line != null; line = next()) {
+        for (WireLineReader line = next(); line != null; line = next()) {
             if (!line.word("turn").equals("turn")) {
                 throw line.wrong("turn");
             }
@@ -70,27 +70,27 @@
 
     private void settle(Instance instance) {
         if (instance != null) {
-            instance.front().settled(now);
+            instance.front().onBatchEnd(now);
         }
     }
 
-    private Line next() throws IOException {
+    private WireLineReader next() throws IOException {
         String text = in.readLine();
         lineNumber++;
-        return text == null ? null : new Line(text, lineNumber);
+        return text == null ? null : new WireLineReader(text, lineNumber);
     }
 
-    private Line must(String expected) throws IOException {
-        Line line = next();
+    private WireLineReader must(String expected) throws IOException {
+        WireLineReader line = next();
         if (line == null) {
-            throw new WireException("line " + lineNumber + ": expected " + expected + ", found the end of input");
+            throw new WireFormatException("line " + lineNumber + ": expected " + expected + ", found the end of input");
         }
         return line;
     }
 
     private void batch() throws IOException {
         while (true) {
-            Line line = must("an event or flush");
+            WireLineReader line = must("an event or flush");
             String word = line.word("an event or flush");
             if (word.equals("flush")) {
                 line.end();
@@ -100,18 +100,18 @@
         }
     }
 
-    private void event(String word, Line line) throws IOException {
+    private void event(String word, WireLineReader line) throws IOException {
         switch (word) {
             case "boot" -> boot(line);
             case "manifest" -> list(line);
             case "roster_change" -> listChange(line);
             case "order" -> order(line);
             case "streaming" -> {
-                Front front = instance(line).front();
+                RoutingPolicy front = instance(line).front();
                 long id = line.whole("the call");
                 String server = line.word("the server");
                 double delay = line.number("the delay");
-                front.stands(now, id, server, line.small("the attempt"), delay);
+                front.onCallEstablished(now, id, server, line.small("the attempt"), delay);
                 line.end();
             }
             case "stop" -> {
@@ -122,37 +122,37 @@
                 }
             }
             case "gone" -> {
-                Front front = instance(line).front();
+                RoutingPolicy front = instance(line).front();
                 long id = line.whole("the call");
                 line.end();
-                front.left(now, id);
+                front.onCallAbandoned(now, id);
             }
             case "result" -> result(line);
             case "pong" -> pong(line);
             case "datagram" -> {
-                Front front = instance(line).front();
+                RoutingPolicy front = instance(line).front();
                 int from = line.small("the sender");
-                front.message(now, from, bytes(line));
+                front.onMessage(now, from, bytes(line));
             }
             case "tick_due" -> {
-                Front front = instance(line).front();
+                RoutingPolicy front = instance(line).front();
                 long token = line.whole("the timer");
                 line.end();
-                front.timer(now, token);
+                front.onTimer(now, token);
             }
             default -> throw line.wrong("a known event");
         }
     }
 
-    private void boot(Line line) {
+    private void boot(WireLineReader line) {
         int number = line.small("the instance");
         long seed = line.whole("the seed");
         StartSettings start = StartSettings.pairs(line.rest(), line::wrong);
-        Front front = new Decide(start.settings(seed), new Reply(reply, number));
+        RoutingPolicy front = new CongestionControlPolicy(start.settings(seed), new ReplyWriter(reply, number));
         instances.put(number, new Instance(front, new ReportFields(start.reportFields(), ',')));
     }
 
-    private Instance instance(Line line) {
+    private Instance instance(WireLineReader line) {
         int number = line.small("the instance");
         Instance instance = instances.get(number);
         if (instance == null) {
@@ -162,7 +162,7 @@
         return instance;
     }
 
-    private void list(Line line) throws IOException {
+    private void list(WireLineReader line) throws IOException {
         int number = line.small("the list number");
         int count = line.small("the number of entries");
         line.end();
@@ -173,7 +173,7 @@
         lists.put(number, entries);
     }
 
-    private static ServerEntry entry(Line line) {
+    private static ServerEntry entry(WireLineReader line) {
         if (!line.word("item").equals("item")) {
             throw line.wrong("item");
         }
@@ -183,11 +183,11 @@
         int cell = (int) line.optional("the pool number").orElse(-1);
         line.optional("the zone");
         line.optional("the scale");
-        State state =
+        ServerState state =
                 switch (line.word("the health")) {
-                    case "on" -> State.RUNNING;
-                    case "fading" -> State.DRAINING;
-                    case "off" -> State.GONE;
+                    case "on" -> ServerState.RUNNING;
+                    case "fading" -> ServerState.DRAINING;
+                    case "off" -> ServerState.GONE;
                     default -> throw line.wrong("on, fading or off");
                 };
         line.end();
@@ -195,13 +195,13 @@
         return new ServerEntry(server, cell, longAgo ? OptionalDouble.empty() : launched, state);
     }
 
-    private void listChange(Line line) {
-        Front front = instance(line).front();
+    private void listChange(WireLineReader line) {
+        RoutingPolicy front = instance(line).front();
         String kind = line.word("the kind of news");
         line.optional("the version");
         if (kind.equals("error")) {
             line.rest();
-            front.listFailed(now);
+            front.onServerListFailure(now);
             return;
         }
         List<ServerEntry> entries = lists.get(line.small("the list number"));
@@ -210,14 +210,14 @@
             throw line.wrong("a list number seen before");
         }
         switch (kind) {
-            case "diff" -> front.serverList(now, false, entries);
-            case "snapshot", "disk" -> front.serverList(now, true, entries);
+            case "diff" -> front.onServerListUpdate(now, false, entries);
+            case "snapshot", "disk" -> front.onServerListUpdate(now, true, entries);
             default -> throw line.wrong("diff, snapshot, disk or error");
         }
     }
 
-    private void order(Line line) {
-        Front front = instance(line).front();
+    private void order(WireLineReader line) {
+        RoutingPolicy front = instance(line).front();
         long id = line.whole("the call");
         line.optional("the tenant");
         String key = line.word("the key");
@@ -229,7 +229,7 @@
         int bits = line.small("the marks");
         OptionalDouble dest = line.optional("the destination");
         line.end();
-        front.offered(
+        front.onCallOffered(
                 now,
                 new Call(
                         id,
@@ -241,7 +241,7 @@
                         (bits & IN_TRANSIT) != 0));
     }
 
-    private void result(Line line) {
+    private void result(WireLineReader line) {
         Instance instance = instance(line);
         long id = line.whole("the call");
         int attempt = line.small("the attempt");
@@ -249,50 +249,51 @@
         int code = (int) line.optional("the note").orElse(0);
         String server = line.word("the server");
         boolean last = line.flag("last");
-        Result how = how(line);
-        Report report = report(instance, line);
+        AttemptStatus how = how(line);
+        ServerLoadReport report = report(instance, line);
         boolean beyond = code == NOTE_BEYOND_FULL;
-        Reason reason =
+        RejectReason reason =
                 switch (beyond ? 2 : code % NOTE_BITS) {
-                    case 1 -> Reason.NO_LINE;
-                    case 2 -> Reason.BEYOND_FULL;
-                    case 3 -> Reason.PROCESSOR_FULL;
-                    case 4 -> Reason.NUMBER_BUSY;
-                    default -> Reason.NONE;
+                    case 1 -> RejectReason.NO_LINE;
+                    case 2 -> RejectReason.BEYOND_FULL;
+                    case 3 -> RejectReason.PROCESSOR_FULL;
+                    case 4 -> RejectReason.NUMBER_BUSY;
+                    default -> RejectReason.NONE;
                 };
         int wait = beyond ? 0 : code / NOTE_BITS;
         OptionalDouble told = wait > 0 ? OptionalDouble.of(wait) : OptionalDouble.empty();
-        instance.front().ended(now, new Ending(id, server, attempt, delay, how, reason, told, last, report));
+        instance.front()
+                .onAttemptOutcome(now, new AttemptOutcome(id, server, attempt, delay, how, reason, told, last, report));
     }
 
-    private void pong(Line line) {
+    private void pong(WireLineReader line) {
         Instance instance = instance(line);
         String server = line.word("the server");
-        boolean ok = how(line) == Result.COMPLETED;
+        boolean ok = how(line) == AttemptStatus.COMPLETED;
         double delay = line.optional("the delay").orElse(0);
-        Report report = report(instance, line);
-        instance.front().probed(now, server, !ok || delay > 0, ok, delay, report);
+        ServerLoadReport report = report(instance, line);
+        instance.front().onProbeResult(now, server, !ok || delay > 0, ok, delay, report);
     }
 
-    private static Result how(Line line) {
+    private static AttemptStatus how(WireLineReader line) {
         return switch (line.word("an outcome")) {
-            case "ok" -> Result.COMPLETED;
-            case "error" -> Result.ERROR;
-            case "full" -> Result.FULL;
-            case "timeout" -> Result.TIMED_OUT;
-            case "connect_failed" -> Result.UNREACHABLE;
-            case "reset" -> Result.RESET;
-            case "cancelled" -> Result.CANCELLED;
-            case "moot" -> Result.NOT_SENT;
+            case "ok" -> AttemptStatus.COMPLETED;
+            case "error" -> AttemptStatus.ERROR;
+            case "full" -> AttemptStatus.FULL;
+            case "timeout" -> AttemptStatus.TIMED_OUT;
+            case "connect_failed" -> AttemptStatus.UNREACHABLE;
+            case "reset" -> AttemptStatus.RESET;
+            case "cancelled" -> AttemptStatus.CANCELLED;
+            case "moot" -> AttemptStatus.NOT_SENT;
             default -> throw line.wrong("a known outcome");
         };
     }
 
-    private static Report report(Instance instance, Line line) {
+    private static ServerLoadReport report(Instance instance, WireLineReader line) {
         return instance.reportFields().read(line.rest(), line::wrong);
     }
 
-    private static byte[] bytes(Line line) {
+    private static byte[] bytes(WireLineReader line) {
         String hex = line.word("the bytes");
         line.end();
         try {
--- a/src/main/java/damsonseam/adapter/Line.java
+++ b/src/main/java/damsonseam/adapter/WireLineReader.java
@@ -3,18 +3,18 @@
 import java.util.OptionalDouble;
 
 /** One line of the wire, read from left to right. */
-final class Line {
+final class WireLineReader {
     private final String text;
     private final long number;
     private int at;
 
-    Line(String text, long number) {
+    WireLineReader(String text, long number) {
         this.text = text;
         this.number = number;
     }
 
-    WireException wrong(String expected) {
-        return new WireException("line " + number + ": expected " + expected + ", found: " + text);
+    WireFormatException wrong(String expected) {
+        return new WireFormatException("line " + number + ": expected " + expected + ", found: " + text);
     }
 
     /** The next value; the line must have one. */
--- a/src/main/java/damsonseam/bench/MemoryBench.java
+++ b/src/main/java/damsonseam/bench/MemoryBench.java
@@ -1,10 +1,10 @@
 package damsonseam.bench;
 
-import damsonseam.Decide;
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.State;
+import damsonseam.CongestionControlPolicy;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.config.Span;
@@ -49,13 +49,13 @@
         Trunks trunks = new Trunks(timers);
         List<Pool.Server> servers = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(new Pool.Server("s" + i, i, "127.0.0.1:1", 2 + i, State.RUNNING, OptionalDouble.empty()));
+            servers.add(new Pool.Server("s" + i, i, "127.0.0.1:1", 2 + i, ServerState.RUNNING, OptionalDouble.empty()));
         }
         List<Long> lookups = new ArrayList<>();
         // The simplest module that sends: what is measured is the path, and the real one holds no standing calls.
         Router router = new Router(
                 new RouterSettings(settings.forModule(1), 2 * count, 5, 100, 20),
-                a -> new Decide(settings.forModule(1), a),
+                a -> new CongestionControlPolicy(settings.forModule(1), a),
                 new CallTable(2 * count, 1),
                 timers,
                 (call, number, deadline) -> lookups.add(call),
@@ -127,7 +127,7 @@
                                     }
 
                                     @Override
-                                    public void stands(double now, long call, int attempt, Report report) {
+                                    public void stands(double now, long call, int attempt, ServerLoadReport report) {
                                         router.stands(now, call, attempt, report);
                                     }
 
@@ -136,10 +136,10 @@
                                             double now,
                                             long call,
                                             int attempt,
-                                            Result result,
-                                            Reason reason,
+                                            AttemptStatus result,
+                                            RejectReason reason,
                                             OptionalDouble toldWait,
-                                            Report report) {
+                                            ServerLoadReport report) {
                                         router.ended(now, call, attempt, result, reason, toldWait, report);
                                     }
 
@@ -162,7 +162,7 @@
         public Ports.NotSent setUp(double now, String server, long call, int attempt, double until, CallRecord record) {
             return groups.get(server).setUp(call, attempt, record.number(), 10)
                     ? null
-                    : new Ports.NotSent(Result.FULL, Reason.NO_LINE);
+                    : new Ports.NotSent(AttemptStatus.FULL, RejectReason.NO_LINE);
         }
 
         @Override
--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -1,7 +1,7 @@
 package damsonseam.config;
 
-import damsonseam.Front.CallClass;
-import damsonseam.Front.Settings;
+import damsonseam.RoutingPolicy.CallClass;
+import damsonseam.RoutingPolicy.PolicySettings;
 import damsonseam.core.NumberPlan;
 import damsonseam.dns.E164Name;
 import damsonseam.overload.OverloadSettings;
@@ -347,10 +347,10 @@
     public static final double SLACK = 20;
 
     /** What the module is given. */
-    public Settings forModule(long seed) {
+    public PolicySettings forModule(long seed) {
         List<CallClass> forModule = new ArrayList<>();
         classes.forEach(c -> forModule.add(c.forModule()));
-        return new Settings(
+        return new PolicySettings(
                 seed,
                 OptionalInt.of(fleet.fronts()),
                 forModule,
--- a/src/main/java/damsonseam/core/CallRecord.java
+++ b/src/main/java/damsonseam/core/CallRecord.java
@@ -1,6 +1,6 @@
 package damsonseam.core;
 
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy.AttemptStatus;
 
 /**
  * One call from its question to its release. The phases go one way only; each is entered once but for
@@ -29,7 +29,7 @@
     private String server;
     private boolean out;
     private double sentAt;
-    private Result releasing;
+    private AttemptStatus releasing;
     private double releasedAt;
     private Timers.Timer deadlineTimer;
     private Timers.Timer attemptTimer;
@@ -125,14 +125,14 @@
     }
 
     /** The attempt is given up with this result; it counts as out until its release is proved or waited out. */
-    void release(Result as, double now) {
+    void release(AttemptStatus as, double now) {
         require(out && releasing == null, "a release of an attempt that is not out");
         releasing = as;
         releasedAt = now;
     }
 
     /** What an attempt that is being released ends in, else null. */
-    Result releasing() {
+    AttemptStatus releasing() {
         return releasing;
     }
 
--- a/src/main/java/damsonseam/core/Pool.java
+++ b/src/main/java/damsonseam/core/Pool.java
@@ -1,7 +1,7 @@
 package damsonseam.core;
 
-import damsonseam.Front.ServerEntry;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.ServerEntry;
+import damsonseam.RoutingPolicy.ServerState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -32,7 +32,8 @@
      * @param state whether it takes work
      * @param startedAt when its processor started, on the front's clock, empty if long ago
      */
-    public record Server(String id, int number, String address, int pointCode, State state, OptionalDouble startedAt) {
+    public record Server(
+            String id, int number, String address, int pointCode, ServerState state, OptionalDouble startedAt) {
         ServerEntry entry() {
             return new ServerEntry(id, number, startedAt, state);
         }
@@ -60,8 +61,9 @@
         }
         if (newVersion > version + 1) {
             // Guards drains against lost news: what the change takes away is taken away before the list comes.
-            List<Server> closing =
-                    entries.stream().filter(s -> s.state() != State.RUNNING).toList();
+            List<Server> closing = entries.stream()
+                    .filter(s -> s.state() != ServerState.RUNNING)
+                    .toList();
             closing.stream().filter(s -> servers.containsKey(s.id())).forEach(this::put);
             return new News(false, news(closing), true);
         }
@@ -77,7 +79,7 @@
     }
 
     private void put(Server server) {
-        if (server.state() == State.GONE) {
+        if (server.state() == ServerState.GONE) {
             Server old = servers.remove(server.id());
             if (old != null) {
                 byNumber.remove(old.number(), server.id());
--- a/src/main/java/damsonseam/core/Ports.java
+++ b/src/main/java/damsonseam/core/Ports.java
@@ -1,7 +1,7 @@
 package damsonseam.core;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
 
 /**
  * What the core asks of the sockets around it, all from the one thread that runs the core. An answer to any of
@@ -40,7 +40,7 @@
     }
 
     /** Why a set-up could not go out. */
-    public record NotSent(Result result, Reason reason) {}
+    public record NotSent(AttemptStatus result, RejectReason reason) {}
 
     /** The caller's side of one call: told its final answer once. */
     @FunctionalInterface
--- a/src/main/java/damsonseam/core/Router.java
+++ b/src/main/java/damsonseam/core/Router.java
@@ -1,12 +1,12 @@
 package damsonseam.core;
 
-import damsonseam.Front;
-import damsonseam.Front.Actions;
-import damsonseam.Front.Call;
-import damsonseam.Front.Ending;
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy;
+import damsonseam.RoutingPolicy.AttemptOutcome;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.Call;
+import damsonseam.RoutingPolicy.PolicyActions;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import damsonseam.core.CallRecord.Phase;
 import damsonseam.core.Ports.Caller;
 import damsonseam.core.Ports.NotSent;
@@ -25,12 +25,12 @@
  * at a time, a circuit from set-up to release, and an end before its caller gives up even if nothing else
  * answers it. What the module wants of a call that is over is passed over.
  */
-public final class Router implements Actions {
+public final class Router implements PolicyActions {
     /** Rounds of one moment at the most: each needs the module to have acted in the one before. */
     private static final int MOST_ROUNDS = 64;
 
     private final RouterSettings settings;
-    private final Front module;
+    private final RoutingPolicy module;
     private final CallTable calls;
     private final Timers timers;
     private final Pool pool = new Pool();
@@ -54,7 +54,7 @@
     /** A router over the given ports; {@code module} makes the decision module for the router's actions. */
     public Router(
             RouterSettings settings,
-            Function<Actions, Front> module,
+            Function<PolicyActions, RoutingPolicy> module,
             CallTable calls,
             Timers timers,
             Ports.Lookups lookups,
@@ -109,7 +109,7 @@
         clock(at);
         for (int round = 0; unsettled && round < MOST_ROUNDS; round++) {
             unsettled = false;
-            module.settled(now);
+            module.onBatchEnd(now);
             for (Runnable echo = echoes.poll(); echo != null; echo = echoes.poll()) {
                 echo.run();
             }
@@ -186,7 +186,7 @@
             finish(
                     call,
                     FinalAnswer.refused(
-                            settings.module().maxReturnAdvice().orElse(0),
+                            settings.module().maxRetryAfter().orElse(0),
                             draining ? "front is closing" : "call table full"));
             return null;
         }
@@ -202,7 +202,7 @@
 
     private void offer(CallRecord call, int firstChoice, List<Integer> numbers) {
         call.found();
-        module.offered(
+        module.onCallOffered(
                 now,
                 new Call(
                         call.id(),
@@ -224,7 +224,7 @@
             return;
         }
         counters.lastMoment++;
-        leave(call, Result.TIMED_OUT);
+        leave(call, AttemptStatus.TIMED_OUT);
         finish(call, FinalAnswer.failed("no answer in time"));
     }
 
@@ -235,7 +235,7 @@
             return;
         }
         if (call.phase() == Phase.TRYING) {
-            leave(call, Result.CANCELLED);
+            leave(call, AttemptStatus.CANCELLED);
         }
         call.takeCaller();
         finish(call, FinalAnswer.failed("caller left"));
@@ -245,23 +245,23 @@
      * Nobody waits for the call any more. Each attempt has one end, also where its call is over before: the module
      * takes a set-up without an end for a server that is silent.
      */
-    private void leave(CallRecord call, Result result) {
+    private void leave(CallRecord call, AttemptStatus result) {
         boolean out = call.out();
-        releaseAttempt(call, result == Result.TIMED_OUT);
-        module.left(now, call.id());
+        releaseAttempt(call, result == AttemptStatus.TIMED_OUT);
+        module.onCallAbandoned(now, call.id());
         if (out) {
-            module.ended(
+            module.onAttemptOutcome(
                     now,
-                    new Ending(
+                    new AttemptOutcome(
                             call.id(),
                             call.server(),
                             call.attempts() - 1,
                             now - call.sentAt(),
                             result,
-                            Reason.NONE,
+                            RejectReason.NONE,
                             OptionalDouble.empty(),
                             true,
-                            Report.NONE));
+                            ServerLoadReport.NONE));
         }
         heard();
     }
@@ -315,7 +315,7 @@
     // ---- Attempts ---------------------------------------------------------------------------------------
 
     /** The attempt was answered: the call stands. Late answers of attempts that are over are passed over. */
-    public void stands(double at, long id, int attempt, Report report) {
+    public void stands(double at, long id, int attempt, ServerLoadReport report) {
         clock(at);
         CallRecord call = calls.get(id);
         if (call == null || !call.out() || call.releasing() != null || !call.isAttempt(attempt)) {
@@ -325,7 +325,7 @@
             // Guards against a pause of the loop: an answer read before the timer that should have ended its
             // attempt long ago is too late for the caller, who has gone.
             counters.timedOut++;
-            abandoned(call, attempt, Result.TIMED_OUT);
+            abandoned(call, attempt, AttemptStatus.TIMED_OUT);
             return;
         }
         timers.cancel(call.swapAttemptTimer(null));
@@ -333,17 +333,23 @@
         call.stand();
         owes(call, -1);
         // The report rides with the answer, but the module hears it as news of the server.
-        if (!report.equals(Report.NONE)) {
-            module.probed(now, call.server(), false, true, 0, report);
+        if (!report.equals(ServerLoadReport.NONE)) {
+            module.onProbeResult(now, call.server(), false, true, 0, report);
         }
-        module.stands(now, id, call.server(), attempt, now - call.sentAt());
+        module.onCallEstablished(now, id, call.server(), attempt, now - call.sentAt());
         heard();
         tell(call, call.takeCaller(), FinalAnswer.stands(call.server()));
     }
 
     /** An attempt, or the standing call that it became, was ended by the far side or with its connection. */
     public void ended(
-            double at, long id, int attempt, Result result, Reason reason, OptionalDouble toldWait, Report report) {
+            double at,
+            long id,
+            int attempt,
+            AttemptStatus result,
+            RejectReason reason,
+            OptionalDouble toldWait,
+            ServerLoadReport report) {
         clock(at);
         CallRecord call = calls.get(id);
         if (call == null || !call.isAttempt(attempt) || !call.out() && call.phase() != Phase.STANDING) {
@@ -353,7 +359,12 @@
     }
 
     private void end(
-            CallRecord call, int attempt, Result result, Reason reason, OptionalDouble toldWait, Report report) {
+            CallRecord call,
+            int attempt,
+            AttemptStatus result,
+            RejectReason reason,
+            OptionalDouble toldWait,
+            ServerLoadReport report) {
         boolean last = call.phase() == Phase.STANDING;
         double took = (call.releasing() == null ? now : call.releasedAt()) - call.sentAt();
         timers.cancel(call.swapAttemptTimer(null));
@@ -361,7 +372,9 @@
             call.attemptOver();
         }
         story.step(now, call, "ended", call.server() + " " + result);
-        module.ended(now, new Ending(call.id(), call.server(), attempt, took, result, reason, toldWait, last, report));
+        module.onAttemptOutcome(
+                now,
+                new AttemptOutcome(call.id(), call.server(), attempt, took, result, reason, toldWait, last, report));
         heard();
         if (last) {
             call.close();
@@ -375,9 +388,9 @@
      * server certainly, or as good as certainly, had the release. Guards against a way that is slower for the
      * release than for the set-up that follows it to another server.
      */
-    private void abandoned(CallRecord call, int attempt, Result result) {
+    private void abandoned(CallRecord call, int attempt, AttemptStatus result) {
         call.release(result, now);
-        clock(trunks.release(now, call.server(), call.id(), attempt, result == Result.TIMED_OUT));
+        clock(trunks.release(now, call.server(), call.id(), attempt, result == AttemptStatus.TIMED_OUT));
         timers.cancel(call.swapAttemptTimer(timers.set(now + settings.releaseWait(), at -> {
             counters.unprovedReleases++;
             released(at, call.id(), attempt);
@@ -389,7 +402,7 @@
         clock(at);
         CallRecord call = calls.get(id);
         if (call != null && call.out() && call.releasing() != null && call.isAttempt(attempt)) {
-            end(call, attempt, call.releasing(), Reason.NONE, OptionalDouble.empty(), Report.NONE);
+            end(call, attempt, call.releasing(), RejectReason.NONE, OptionalDouble.empty(), ServerLoadReport.NONE);
         }
     }
 
@@ -409,7 +422,7 @@
         clock(at);
         Pool.News news = pool.apply(version, full, servers);
         if (news.full() || !news.entries().isEmpty()) {
-            module.serverList(now, news.full(), news.entries());
+            module.onServerListUpdate(now, news.full(), news.entries());
             heard();
         }
         return news.gap();
@@ -418,21 +431,22 @@
     /** The directory could not be reached or broke off; the old list stays. */
     public void directoryFailed(double at) {
         clock(at);
-        module.listFailed(now);
+        module.onServerListFailure(now);
         heard();
     }
 
     /** The answer to a probe, or with {@code asked} false a report that came by itself. */
-    public void probed(double at, String server, boolean asked, boolean answered, double delay, Report report) {
+    public void probed(
+            double at, String server, boolean asked, boolean answered, double delay, ServerLoadReport report) {
         clock(at);
-        module.probed(now, server, asked, answered, delay, report);
+        module.onProbeResult(now, server, asked, answered, delay, report);
         heard();
     }
 
     // ---- What the module asks for -----------------------------------------------------------------------
 
     @Override
-    public void send(long id, String server, double abandonAt) {
+    public void sendSetUp(long id, String server, double abandonAt) {
         CallRecord call = calls.get(id);
         if (call == null || call.phase() != Phase.TRYING) {
             return;
@@ -443,8 +457,14 @@
         NotSent notSent = trunks.setUp(now, server, id, attempt, until, call);
         if (notSent != null) {
             counters.notSent++;
-            echoes.add(() ->
-                    ended(now, id, attempt, notSent.result(), notSent.reason(), OptionalDouble.empty(), Report.NONE));
+            echoes.add(() -> ended(
+                    now,
+                    id,
+                    attempt,
+                    notSent.result(),
+                    notSent.reason(),
+                    OptionalDouble.empty(),
+                    ServerLoadReport.NONE));
             return;
         }
         counters.setUps++;
@@ -453,13 +473,13 @@
             clock(at);
             if (call.out() && call.releasing() == null && call.isAttempt(attempt)) {
                 counters.timedOut++;
-                abandoned(call, attempt, Result.TIMED_OUT);
+                abandoned(call, attempt, AttemptStatus.TIMED_OUT);
             }
         }));
     }
 
     @Override
-    public void refuse(long id, double returnAfter) {
+    public void refuseCall(long id, double returnAfter) {
         CallRecord call = calls.get(id);
         if (call != null && call.phase() == Phase.TRYING) {
             releaseAttempt(call, false);
@@ -468,7 +488,7 @@
     }
 
     @Override
-    public void fail(long id) {
+    public void failCall(long id) {
         CallRecord call = calls.get(id);
         if (call != null && call.phase() == Phase.TRYING) {
             releaseAttempt(call, false);
@@ -477,40 +497,40 @@
     }
 
     @Override
-    public void cancel(long id, int attempt) {
+    public void cancelAttempt(long id, int attempt) {
         CallRecord call = calls.get(id);
         if (call != null && call.out() && call.releasing() == null && call.isAttempt(attempt)) {
             // The module hears that it is over when it is done with this moment.
             echoes.add(() -> {
                 if (call.out() && call.releasing() == null && call.isAttempt(attempt)) {
                     counters.cancelled++;
-                    abandoned(call, attempt, Result.CANCELLED);
+                    abandoned(call, attempt, AttemptStatus.CANCELLED);
                 }
             });
         }
     }
 
     @Override
-    public void timer(double after, long token) {
+    public void startTimer(double after, long token) {
         timers.set(now + after, at -> {
             clock(at);
-            module.timer(now, token);
+            module.onTimer(now, token);
             heard();
         });
     }
 
     @Override
-    public void probe(String server) {
+    public void sendProbe(String server) {
         trunks.probe(now, server);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchServerList() {
         directory.fetch();
     }
 
     @Override
-    public void followList() {
+    public void followServerList() {
         directory.follow();
     }
 
@@ -526,13 +546,13 @@
         draining = true;
         for (CallRecord call : List.copyOf(calls.all())) {
             if (call.phase() == Phase.TRYING && call.out()) {
-                leave(call, Result.CANCELLED);
+                leave(call, AttemptStatus.CANCELLED);
                 finish(call, FinalAnswer.failed("front is closing"));
             } else if (call.phase() != Phase.STANDING && call.phase() != Phase.OVER) {
-                module.left(now, call.id());
+                module.onCallAbandoned(now, call.id());
                 finish(
                         call,
-                        FinalAnswer.refused(settings.module().maxReturnAdvice().orElse(0), "front is closing"));
+                        FinalAnswer.refused(settings.module().maxRetryAfter().orElse(0), "front is closing"));
             }
         }
         heard();
--- a/src/main/java/damsonseam/core/RouterSettings.java
+++ b/src/main/java/damsonseam/core/RouterSettings.java
@@ -1,6 +1,6 @@
 package damsonseam.core;
 
-import damsonseam.Front.Settings;
+import damsonseam.RoutingPolicy.PolicySettings;
 
 /**
  * What the core is given at the start.
@@ -11,4 +11,5 @@
  * @param releaseWait how long the proof is awaited that a server has a release, in milliseconds
  * @param lastMoment how long before a caller gives up the core itself fails a call still unanswered
  */
-public record RouterSettings(Settings module, int mostCalls, double beat, double releaseWait, double lastMoment) {}
+public record RouterSettings(
+        PolicySettings module, int mostCalls, double beat, double releaseWait, double lastMoment) {}
--- a/src/main/java/damsonseam/day/Day.java
+++ b/src/main/java/damsonseam/day/Day.java
@@ -1,6 +1,6 @@
 package damsonseam.day;
 
-import damsonseam.Front;
+import damsonseam.RoutingPolicy;
 import damsonseam.audit.AuditFolder;
 import damsonseam.audit.AuditReport;
 import damsonseam.audit.World;
@@ -100,7 +100,7 @@
         if (decider == Decider.MODULE) {
             return FrontServer.start(settings, logCalls);
         }
-        BiFunction<Front.Settings, Front.Actions, Front> random = RandomRoute::new;
+        BiFunction<RoutingPolicy.PolicySettings, RoutingPolicy.PolicyActions, RoutingPolicy> random = RandomRoute::new;
         Admission open = (now, rank, sender, load) -> Admission.TAKE;
         return FrontServer.start(
                 settings,
--- a/src/main/java/damsonseam/front/DirectoryClient.java
+++ b/src/main/java/damsonseam/front/DirectoryClient.java
@@ -1,6 +1,6 @@
 package damsonseam.front;
 
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.core.Pool;
 import damsonseam.core.Ports;
 import damsonseam.core.Router;
@@ -130,14 +130,14 @@
     private static List<Pool.Server> servers(Update update, double now) {
         List<Pool.Server> servers = new ArrayList<>(update.getEntriesCount());
         for (Entry e : update.getEntriesList()) {
-            State state =
+            ServerState state =
                     switch (e.getState()) {
-                        case RUNNING -> State.RUNNING;
-                        case DRAINING -> State.DRAINING;
-                        case GONE -> State.GONE;
+                        case RUNNING -> ServerState.RUNNING;
+                        case DRAINING -> ServerState.DRAINING;
+                        case GONE -> ServerState.GONE;
                         default -> throw new IllegalArgumentException("server " + e.getServer() + " without a state");
                     };
-            if (e.getServer().isEmpty() || state != State.GONE) {
+            if (e.getServer().isEmpty() || state != ServerState.GONE) {
                 damsonseam.config.Endpoint.of(e.getAddress());
             }
             servers.add(new Pool.Server(
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -1,7 +1,7 @@
 package damsonseam.front;
 
-import damsonseam.Decide;
-import damsonseam.Front;
+import damsonseam.CongestionControlPolicy;
+import damsonseam.RoutingPolicy;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.core.CallTable;
@@ -62,14 +62,14 @@
      * @param module makes the decision module
      * @param admission makes what admits calls, once for datagrams and once for streams
      */
-    public record Parts(Function<Front.Actions, Front> module, Supplier<Admission> admission) {
+    public record Parts(Function<RoutingPolicy.PolicyActions, RoutingPolicy> module, Supplier<Admission> admission) {
         /** The project's own. */
         public static Parts own(FrontSettings settings) {
             long seed = settings.front().seed() == null
                     ? new SecureRandom().nextLong()
                     : settings.front().seed();
             return new Parts(
-                    actions -> new Decide(settings.forModule(seed), actions),
+                    actions -> new CongestionControlPolicy(settings.forModule(seed), actions),
                     () -> new Gate(settings.levels(), settings.ranks().count(), seed));
         }
     }
--- a/src/main/java/damsonseam/front/TrunkLink.java
+++ b/src/main/java/damsonseam/front/TrunkLink.java
@@ -1,8 +1,8 @@
 package damsonseam.front;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import damsonseam.config.FrontSettings;
 import damsonseam.core.Circuits;
 import damsonseam.core.Pool;
@@ -254,12 +254,12 @@
 
         @Override
         public void probed(boolean answered, double delay) {
-            router.probed(loop.now(), server.id(), true, answered, delay, Report.NONE);
+            router.probed(loop.now(), server.id(), true, answered, delay, ServerLoadReport.NONE);
             loop.kick();
         }
 
         @Override
-        public void stands(double now, long call, int attempt, Report report) {
+        public void stands(double now, long call, int attempt, ServerLoadReport report) {
             router.stands(now, call, attempt, report);
         }
 
@@ -268,10 +268,10 @@
                 double now,
                 long call,
                 int attempt,
-                Result result,
-                Reason reason,
+                AttemptStatus result,
+                RejectReason reason,
                 OptionalDouble toldWait,
-                Report report) {
+                ServerLoadReport report) {
             if (closedHere) {
                 loop.timers().set(now + settings.trunks().releaseWait().ms(), at -> {
                     router.ended(at, call, attempt, result, reason, toldWait, report);
--- a/src/main/java/damsonseam/front/TrunkLinks.java
+++ b/src/main/java/damsonseam/front/TrunkLinks.java
@@ -1,9 +1,9 @@
 package damsonseam.front;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.FrontSettings;
 import damsonseam.core.CallRecord;
 import damsonseam.core.Pool;
@@ -21,8 +21,8 @@
     /** Calling party's category: ordinary subscriber (Q.763 3.11). */
     private static final int ORDINARY = 0x0a;
 
-    private static final Ports.NotSent UNREACHABLE = new Ports.NotSent(Result.UNREACHABLE, Reason.NONE);
-    private static final Ports.NotSent NO_LINE = new Ports.NotSent(Result.FULL, Reason.NO_LINE);
+    private static final Ports.NotSent UNREACHABLE = new Ports.NotSent(AttemptStatus.UNREACHABLE, RejectReason.NONE);
+    private static final Ports.NotSent NO_LINE = new Ports.NotSent(AttemptStatus.FULL, RejectReason.NO_LINE);
 
     private final Loop loop;
     private final FrontSettings settings;
@@ -83,7 +83,7 @@
         if (link != null && link.usable()) {
             link.probe(now);
         } else {
-            loop.timers().set(now, at -> router.probed(at, server, true, false, 0, Report.NONE));
+            loop.timers().set(now, at -> router.probed(at, server, true, false, 0, ServerLoadReport.NONE));
         }
     }
 
@@ -96,7 +96,7 @@
     boolean ready() {
         return !links.isEmpty()
                 && router.pool().servers().stream()
-                        .filter(s -> s.state() == State.RUNNING)
+                        .filter(s -> s.state() == ServerState.RUNNING)
                         .allMatch(s ->
                                 links.containsKey(s.id()) && links.get(s.id()).usable());
     }
--- a/src/main/java/damsonseam/node/CallBook.java
+++ b/src/main/java/damsonseam/node/CallBook.java
@@ -1,8 +1,8 @@
 package damsonseam.node;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import damsonseam.core.CallRecord;
 import damsonseam.core.FinalAnswer;
 import damsonseam.core.Router;
@@ -182,18 +182,18 @@
     /** The caller's side ends a call that stands. */
     void hangUp(NodeCall call) {
         ServerLink server = call.standsAt;
-        over(call, Result.CANCELLED, Report.NONE, NORMAL_CLEARING);
+        over(call, AttemptStatus.CANCELLED, ServerLoadReport.NONE, NORMAL_CLEARING);
         server.bye(call.id, call.target);
     }
 
     /** A call that stood is over by its server's word or with its server; its caller is told. */
-    void ended(NodeCall call, Result result, Report report) {
-        int cause = result == Result.COMPLETED ? NORMAL_CLEARING : TEMPORARY_FAILURE;
+    void ended(NodeCall call, AttemptStatus result, ServerLoadReport report) {
+        int cause = result == AttemptStatus.COMPLETED ? NORMAL_CLEARING : TEMPORARY_FAILURE;
         over(call, result, report, cause);
         releases.say(call, cause);
     }
 
-    private void over(NodeCall call, Result result, Report report, int cause) {
+    private void over(NodeCall call, AttemptStatus result, ServerLoadReport report, int cause) {
         endedAt(call.standsAt.id(), call.id, cause);
         tell(call, "over: " + result);
         if (call.record != null) {
@@ -202,7 +202,7 @@
                     call.record.id(),
                     call.record.attempts() - 1,
                     result,
-                    Reason.NONE,
+                    RejectReason.NONE,
                     OptionalDouble.empty(),
                     report);
         }
--- a/src/main/java/damsonseam/node/CoordinatorClient.java
+++ b/src/main/java/damsonseam/node/CoordinatorClient.java
@@ -1,6 +1,6 @@
 package damsonseam.node;
 
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.Endpoint;
 import damsonseam.core.Pool;
 import damsonseam.core.Ports;
@@ -223,7 +223,7 @@
                     id,
                     host + ":" + port,
                     cell,
-                    new State[] {State.RUNNING, State.DRAINING, State.GONE}[state],
+                    new ServerState[] {ServerState.RUNNING, ServerState.DRAINING, ServerState.GONE}[state],
                     frame.readLong()));
         }
         return new ListEvent(number, kind == 1, entries);
--- a/src/main/java/damsonseam/node/ListEvent.java
+++ b/src/main/java/damsonseam/node/ListEvent.java
@@ -1,6 +1,6 @@
 package damsonseam.node;
 
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.core.Pool;
 import java.util.ArrayList;
 import java.util.List;
@@ -24,7 +24,7 @@
      * @param state whether it takes work
      * @param upSince Unix millisecond of a late start, else 0
      */
-    record Entry(String id, String address, int cell, State state, long upSince) {}
+    record Entry(String id, String address, int cell, ServerState state, long upSince) {}
 
     /** The entries on the node's own clock, which reads {@code now} at the Unix millisecond {@code unix}. */
     List<Pool.Server> servers(double now, long unix) {
--- a/src/main/java/damsonseam/node/NodeConfig.java
+++ b/src/main/java/damsonseam/node/NodeConfig.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.Endpoint;
 import damsonseam.config.SettingsException;
 import damsonseam.settings.StartSettings;
@@ -104,11 +104,11 @@
             JsonNode list = need(update, "endpoints");
             List<ListEvent.Entry> entries = new ArrayList<>();
             for (JsonNode m : list.path("members")) {
-                State state =
+                ServerState state =
                         switch (need(m, "phase").asText()) {
-                            case "ready" -> State.RUNNING;
-                            case "draining" -> State.DRAINING;
-                            case "gone" -> State.GONE;
+                            case "ready" -> ServerState.RUNNING;
+                            case "draining" -> ServerState.DRAINING;
+                            case "gone" -> ServerState.GONE;
                             default ->
                                 throw new IllegalArgumentException("a member's phase is ready, draining or gone, not "
                                         + m.path("phase").asText());
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -1,8 +1,8 @@
 package damsonseam.node;
 
-import damsonseam.Decide;
-import damsonseam.Front.CallClass;
-import damsonseam.Front.Settings;
+import damsonseam.CongestionControlPolicy;
+import damsonseam.RoutingPolicy.CallClass;
+import damsonseam.RoutingPolicy.PolicySettings;
 import damsonseam.core.CallTable;
 import damsonseam.core.Counters;
 import damsonseam.core.Router;
@@ -70,7 +70,7 @@
         loop = new Loop((EventLoop) group.next(), BEAT);
         releases = new Releases(loop);
         book = new CallBook(releases);
-        Settings module = config.settings().settings(config.seed());
+        PolicySettings module = config.settings().settings(config.seed());
         classes = module.classes();
         CallSettings calls = new CallSettings(config.settings());
         int links = Math.min(MOST_SERVER_CONNECTIONS, config.sockets() / SERVERS_SHARE);
@@ -90,7 +90,7 @@
                 config.memoryMb() > 0 ? config.memoryMb() * CALLS_A_MB : MOST_HELD);
         router = new Router(
                 new RouterSettings(module, most, BEAT, RELEASE_WAIT, LAST_MOMENT),
-                actions -> new Decide(module, actions),
+                actions -> new CongestionControlPolicy(module, actions),
                 new CallTable(most, System.currentTimeMillis() / 1000),
                 loop.timers(),
                 (call, number, deadline) -> {
--- a/src/main/java/damsonseam/node/ServerLink.java
+++ b/src/main/java/damsonseam/node/ServerLink.java
@@ -1,9 +1,9 @@
 package damsonseam.node;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.Endpoint;
 import damsonseam.core.Pool;
 import damsonseam.core.Router;
@@ -176,7 +176,7 @@
         server = news;
         replaced = false;
         wanted = true;
-        if (news.state() != State.RUNNING) {
+        if (news.state() != ServerState.RUNNING) {
             endUnsent();
         }
         double started = news.startedAt().orElse(Double.NEGATIVE_INFINITY);
@@ -309,7 +309,7 @@
         for (Attempt a : List.copyOf(attempts.values())) {
             if (a.on == connection && a.sent) {
                 a.of.brokeAt = this;
-                end(a, Result.RESET, Reason.NONE, Report.NONE);
+                end(a, AttemptStatus.RESET, RejectReason.NONE, ServerLoadReport.NONE);
             } else if (a.on == connection) {
                 placeAgain(a);
             }
@@ -317,7 +317,7 @@
         tests.entrySet().removeIf(e -> {
             boolean lost = e.getValue().on == connection;
             if (lost && e.getValue().asked) {
-                router.probed(now(), server.id(), true, false, now() - e.getValue().sentAt, Report.NONE);
+                router.probed(now(), server.id(), true, false, now() - e.getValue().sentAt, ServerLoadReport.NONE);
             }
             return lost;
         });
@@ -387,7 +387,7 @@
     private void placeAgain(Attempt attempt) {
         attempt.on = null;
         if (!wanted || !findPlace(attempt)) {
-            end(attempt, Result.UNREACHABLE, Reason.NONE, Report.NONE);
+            end(attempt, AttemptStatus.UNREACHABLE, RejectReason.NONE, ServerLoadReport.NONE);
         }
     }
 
@@ -439,7 +439,7 @@
         });
     }
 
-    private void end(Attempt attempt, Result result, Reason reason, Report report) {
+    private void end(Attempt attempt, AttemptStatus result, RejectReason reason, ServerLoadReport report) {
         attempts.remove(attempt.key());
         if (attempt.on != null) {
             attempt.on.out(-1);
@@ -451,7 +451,7 @@
     /** What waits for a connection never went out. */
     private void endWaiting() {
         for (Attempt a = waiting.poll(); a != null; a = waiting.poll()) {
-            end(a, Result.UNREACHABLE, Reason.NONE, Report.NONE);
+            end(a, AttemptStatus.UNREACHABLE, RejectReason.NONE, ServerLoadReport.NONE);
         }
     }
 
@@ -460,7 +460,7 @@
         endWaiting();
         for (Attempt a : List.copyOf(attempts.values())) {
             if (!a.sent) {
-                end(a, Result.UNREACHABLE, Reason.NONE, Report.NONE);
+                end(a, AttemptStatus.UNREACHABLE, RejectReason.NONE, ServerLoadReport.NONE);
             }
         }
     }
@@ -482,7 +482,7 @@
         router.clock(now());
         for (NodeCall call : List.copyOf(standing)) {
             if (which.test(call)) {
-                shared.book().ended(call, Result.RESET, Report.NONE);
+                shared.book().ended(call, AttemptStatus.RESET, ServerLoadReport.NONE);
             }
         }
     }
@@ -496,7 +496,7 @@
         }
         router.catchUp(now);
         router.clock(now);
-        Report report = report(message);
+        ServerLoadReport report = report(message);
         if (!message.isRequest()) {
             answer(on, message, report, now);
         } else if (message.method().equals(SipMessage.NOTIFY)) {
@@ -518,12 +518,12 @@
                 && message.status() != SipMessage.OK;
     }
 
-    private Report report(SipMessage message) {
+    private ServerLoadReport report(SipMessage message) {
         String text = message.headers().get("X-Occupancy");
-        return text == null ? Report.NONE : shared.reports().read(text, IllegalArgumentException::new);
+        return text == null ? ServerLoadReport.NONE : shared.reports().read(text, IllegalArgumentException::new);
     }
 
-    private void answer(ServerConnection on, SipMessage message, Report report, double now) {
+    private void answer(ServerConnection on, SipMessage message, ServerLoadReport report, double now) {
         if (!message.isFinal()) {
             return;
         }
@@ -582,22 +582,22 @@
                 && (call.standsAt == this || attempts.values().stream().anyMatch(a -> a.of == call));
     }
 
-    private static Result result(int status) {
+    private static AttemptStatus result(int status) {
         return switch (status) {
-            case 503 -> Result.FULL;
-            case 480 -> Result.NOT_SENT;
-            case 504 -> Result.RESET;
-            default -> Result.ERROR;
+            case 503 -> AttemptStatus.FULL;
+            case 480 -> AttemptStatus.NOT_SENT;
+            case 504 -> AttemptStatus.RESET;
+            default -> AttemptStatus.ERROR;
         };
     }
 
-    private static Reason reason(SipMessage message) {
+    private static RejectReason reason(SipMessage message) {
         return switch (String.valueOf(message.headers().get("X-Diagnosis"))) {
-            case "all_trunks_busy" -> Reason.NO_LINE;
-            case "via_said_no", "far_cpu_full" -> Reason.BEYOND_FULL;
-            case "cpu_full" -> Reason.PROCESSOR_FULL;
-            case "number_busy" -> Reason.NUMBER_BUSY;
-            default -> Reason.NONE;
+            case "all_trunks_busy" -> RejectReason.NO_LINE;
+            case "via_said_no", "far_cpu_full" -> RejectReason.BEYOND_FULL;
+            case "cpu_full" -> RejectReason.PROCESSOR_FULL;
+            case "number_busy" -> RejectReason.NUMBER_BUSY;
+            default -> RejectReason.NONE;
         };
     }
 
@@ -605,7 +605,7 @@
      * An attempt that broke may have run, and its release bears the same id as that of the call's next attempt at the
      * same server: the one that stands, or is out, is told from it by its connection, while that is open.
      */
-    private void released(ServerConnection on, SipMessage message, Report report) {
+    private void released(ServerConnection on, SipMessage message, ServerLoadReport report) {
         NodeCall call = shared.book().get(String.valueOf(message.callId()));
         boolean tidy = String.valueOf(message.headers().get(SipHeaders.REASON))
                 .replace(" ", "")
@@ -628,13 +628,13 @@
             if (call.brokeAt == this && call.standsOn != on && call.standsOn.usable()) {
                 return;
             }
-            shared.book().ended(call, tidy ? Result.COMPLETED : Result.RESET, report);
+            shared.book().ended(call, tidy ? AttemptStatus.COMPLETED : AttemptStatus.RESET, report);
             closeIfUnused();
             return;
         }
         for (Attempt a : List.copyOf(attempts.values())) {
             if (a.of == call && a.on == on && a.sent) {
-                end(a, Result.RESET, Reason.NONE, report);
+                end(a, AttemptStatus.RESET, RejectReason.NONE, report);
             }
         }
     }
@@ -657,7 +657,12 @@
                         .set(
                                 now + shared.connectTimeout(),
                                 at -> router.probed(
-                                        at, server.id(), true, !connections.isEmpty(), at - now, Report.NONE));
+                                        at,
+                                        server.id(),
+                                        true,
+                                        !connections.isEmpty(),
+                                        at - now,
+                                        ServerLoadReport.NONE));
             }
             return;
         }
@@ -671,7 +676,7 @@
         on.send(SipMessage.request(SipMessage.OPTIONS, PING, id, 1), null);
         shared.loop().timers().set(now + shared.connectTimeout(), at -> {
             if (tests.remove(id) != null && asked) {
-                router.probed(at, server.id(), true, false, at - now, Report.NONE);
+                router.probed(at, server.id(), true, false, at - now, ServerLoadReport.NONE);
             }
         });
     }
--- a/src/main/java/damsonseam/node/ServerLinks.java
+++ b/src/main/java/damsonseam/node/ServerLinks.java
@@ -1,9 +1,9 @@
 package damsonseam.node;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.core.CallRecord;
 import damsonseam.core.Pool;
 import damsonseam.core.Ports;
@@ -19,7 +19,7 @@
 
 /** The ways to the signalling servers, one for each that the list has named and that is still of use. */
 final class ServerLinks implements Ports.Trunks {
-    private static final Ports.NotSent UNREACHABLE = new Ports.NotSent(Result.UNREACHABLE, Reason.NONE);
+    private static final Ports.NotSent UNREACHABLE = new Ports.NotSent(AttemptStatus.UNREACHABLE, RejectReason.NONE);
     private static final double SWEEP_MS = 250;
 
     /**
@@ -153,14 +153,14 @@
         if (link != null) {
             link.probe();
         } else {
-            shared.loop().timers().set(now, at -> router.probed(at, server, true, false, 0, Report.NONE));
+            shared.loop().timers().set(now, at -> router.probed(at, server, true, false, 0, ServerLoadReport.NONE));
         }
     }
 
     /** Whether each running server of the list has been reached, or has been tried in vain. */
     boolean ready() {
         return router.pool().servers().stream()
-                .filter(s -> s.state() == State.RUNNING)
+                .filter(s -> s.state() == ServerState.RUNNING)
                 .allMatch(s -> links.containsKey(s.id()) && links.get(s.id()).tried());
     }
 
--- a/src/main/java/damsonseam/node/Shutdown.java
+++ b/src/main/java/damsonseam/node/Shutdown.java
@@ -1,6 +1,6 @@
 package damsonseam.node;
 
-import damsonseam.Front.CallClass;
+import damsonseam.RoutingPolicy.CallClass;
 import damsonseam.core.Router;
 import damsonseam.loop.Loop;
 import java.util.List;
--- a/src/main/java/damsonseam/settings/ReportFields.java
+++ b/src/main/java/damsonseam/settings/ReportFields.java
@@ -1,6 +1,6 @@
 package damsonseam.settings;
 
-import damsonseam.Front.Report;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -27,9 +27,9 @@
      *
      * @param wrong makes the error of the program that reads it out of what was expected
      */
-    public Report read(String text, Function<String, RuntimeException> wrong) {
+    public ServerLoadReport read(String text, Function<String, RuntimeException> wrong) {
         if (text.isEmpty() || text.equals("-")) {
-            return Report.NONE;
+            return ServerLoadReport.NONE;
         }
         Map<String, OptionalDouble> values = new HashMap<>();
         for (int at = 0; at <= text.length(); ) {
@@ -46,7 +46,7 @@
                 values.put(name, decimal(pair.substring(colon + 1), name, wrong));
             }
         }
-        return new Report(
+        return new ServerLoadReport(
                 value(values, "spare"),
                 value(values, "total"),
                 value(values, "svc_ms"),
--- a/src/main/java/damsonseam/settings/StartSettings.java
+++ b/src/main/java/damsonseam/settings/StartSettings.java
@@ -1,7 +1,7 @@
 package damsonseam.settings;
 
-import damsonseam.Front.CallClass;
-import damsonseam.Front.Settings;
+import damsonseam.RoutingPolicy.CallClass;
+import damsonseam.RoutingPolicy.PolicySettings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -45,8 +45,8 @@
     }
 
     /** What the decision module is given. */
-    public Settings settings(long seed) {
-        return new Settings(
+    public PolicySettings settings(long seed) {
+        return new PolicySettings(
                 seed,
                 whole("Balancers"),
                 classes(),
--- a/src/main/java/damsonseam/ss7/LoadReport.java
+++ b/src/main/java/damsonseam/ss7/LoadReport.java
@@ -1,6 +1,6 @@
 package damsonseam.ss7;
 
-import damsonseam.Front.Report;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import java.nio.ByteBuffer;
 import java.util.OptionalDouble;
 
@@ -20,13 +20,14 @@
     private LoadReport() {}
 
     /** The parameter for these figures. */
-    public static Isup.Parameter encode(Report report) {
+    public static Isup.Parameter encode(ServerLoadReport report) {
         ByteBuffer out = ByteBuffer.allocate(LENGTH).put((byte) VERSION);
         out.put((byte)
-                (report.busy().isEmpty()
+                (report.utilization().isEmpty()
                         ? NO_OCTET
-                        : (int) Math.min(NO_OCTET - 1, Math.round(report.busy().getAsDouble() * UTIL_STEPS))));
-        put(out, report.waiting());
+                        : (int) Math.min(
+                                NO_OCTET - 1, Math.round(report.utilization().getAsDouble() * UTIL_STEPS))));
+        put(out, report.queueLength());
         put(out, report.freeLines());
         put(out, report.lines());
         return new Isup.Parameter(Isup.LOAD_REPORT, out.put((byte) 0).array());
@@ -40,17 +41,17 @@
     }
 
     /** The figures in a message; one that has none, or none that can be read, says nothing. */
-    public static Report decode(Isup message) {
+    public static ServerLoadReport decode(Isup message) {
         byte[] value = message.value(Isup.LOAD_REPORT);
         if (value == null || value.length < LENGTH || value[0] < VERSION) {
-            return Report.NONE;
+            return ServerLoadReport.NONE;
         }
         ByteBuffer in = ByteBuffer.wrap(value, 1, LENGTH - 1);
         int util = in.get() & 0xff;
         OptionalDouble queue = get(in);
         OptionalDouble free = get(in);
         OptionalDouble lines = get(in);
-        return new Report(
+        return new ServerLoadReport(
                 free,
                 lines,
                 OptionalDouble.empty(),
--- a/src/main/java/damsonseam/ss7/TrunkGroup.java
+++ b/src/main/java/damsonseam/ss7/TrunkGroup.java
@@ -1,8 +1,8 @@
 package damsonseam.ss7;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import damsonseam.core.Circuits;
 import damsonseam.core.Timers;
 import java.util.BitSet;
@@ -27,17 +27,17 @@
         void send(Isup message);
 
         /** The attempt was answered. */
-        void stands(double now, long call, int attempt, Report report);
+        void stands(double now, long call, int attempt, ServerLoadReport report);
 
         /** The attempt, or the standing call, was ended by the far end or with the connection. */
         void ended(
                 double now,
                 long call,
                 int attempt,
-                Result result,
-                Reason reason,
+                AttemptStatus result,
+                RejectReason reason,
                 OptionalDouble toldWait,
-                Report report);
+                ServerLoadReport report);
 
         /** The far end has the release of an attempt: it completed it, released too, or is gone. */
         void released(double now, long call, int attempt);
@@ -201,7 +201,14 @@
             }
             b.state = State.RELEASING;
             if (told && byCall.remove(b.call) != null) {
-                out.ended(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
+                out.ended(
+                        now,
+                        b.call,
+                        b.attempt,
+                        AttemptStatus.RESET,
+                        RejectReason.NONE,
+                        OptionalDouble.empty(),
+                        ServerLoadReport.NONE);
             }
         }
     }
@@ -310,22 +317,22 @@
         return IsupMessages.congestionLevel(message) > 0 && !said ? Isup.SWITCH_CONGESTION : cause;
     }
 
-    private static Result result(int cause, boolean answered) {
+    private static AttemptStatus result(int cause, boolean answered) {
         if (answered) {
-            return cause == Isup.NORMAL_CLEARING ? Result.COMPLETED : Result.RESET;
+            return cause == Isup.NORMAL_CLEARING ? AttemptStatus.COMPLETED : AttemptStatus.RESET;
         }
-        return cause == Isup.NO_CIRCUIT || cause == Isup.SWITCH_CONGESTION ? Result.FULL : Result.ERROR;
+        return cause == Isup.NO_CIRCUIT || cause == Isup.SWITCH_CONGESTION ? AttemptStatus.FULL : AttemptStatus.ERROR;
     }
 
-    private static Reason reason(int cause, boolean answered) {
+    private static RejectReason reason(int cause, boolean answered) {
         if (answered) {
-            return Reason.NONE;
+            return RejectReason.NONE;
         }
         return switch (cause) {
-            case Isup.NO_CIRCUIT -> Reason.NO_LINE;
-            case Isup.SWITCH_CONGESTION -> Reason.PROCESSOR_FULL;
-            case Isup.USER_BUSY -> Reason.NUMBER_BUSY;
-            default -> Reason.NONE;
+            case Isup.NO_CIRCUIT -> RejectReason.NO_LINE;
+            case Isup.SWITCH_CONGESTION -> RejectReason.PROCESSOR_FULL;
+            case Isup.USER_BUSY -> RejectReason.NUMBER_BUSY;
+            default -> RejectReason.NONE;
         };
     }
 
@@ -343,7 +350,14 @@
         b.state = State.RELEASING;
         toReset.set(c);
         resetNext(now);
-        out.ended(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
+        out.ended(
+                now,
+                b.call,
+                b.attempt,
+                AttemptStatus.RESET,
+                RejectReason.NONE,
+                OptionalDouble.empty(),
+                ServerLoadReport.NONE);
     }
 
     private void idle(Busy b, double now) {
@@ -368,7 +382,14 @@
         idle(b, now);
         out.released(now, b.call, b.attempt);
         if (told) {
-            out.ended(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
+            out.ended(
+                    now,
+                    b.call,
+                    b.attempt,
+                    AttemptStatus.RESET,
+                    RejectReason.NONE,
+                    OptionalDouble.empty(),
+                    ServerLoadReport.NONE);
         }
     }
 
@@ -398,7 +419,14 @@
             // The other end controls this circuit: our attempt never ran, theirs is turned away.
             byCall.remove(b.call);
             startRelease(b, Isup.NO_CIRCUIT, now);
-            out.ended(now, b.call, b.attempt, Result.FULL, Reason.NO_LINE, OptionalDouble.empty(), Report.NONE);
+            out.ended(
+                    now,
+                    b.call,
+                    b.attempt,
+                    AttemptStatus.FULL,
+                    RejectReason.NO_LINE,
+                    OptionalDouble.empty(),
+                    ServerLoadReport.NONE);
             return;
         }
         if (b == null) {
--- a/src/main/java/damsonseam/standin/Calculator.java
+++ b/src/main/java/damsonseam/standin/Calculator.java
@@ -1,6 +1,6 @@
 package damsonseam.standin;
 
-import damsonseam.Front.Report;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import damsonseam.audit.WireLog;
 import damsonseam.ss7.Digits;
 import damsonseam.ss7.Isup;
@@ -68,7 +68,7 @@
     private boolean fallen;
     private int life;
     private int held;
-    private Report report = Report.NONE;
+    private ServerLoadReport report = ServerLoadReport.NONE;
     private double reportAt = Double.NEGATIVE_INFINITY;
 
     /**
@@ -276,7 +276,7 @@
     private Isup.Parameter reportNow(double now) {
         if (now - reportAt >= settings.reportEvery().ms()) {
             reportAt = now;
-            report = new Report(
+            report = new ServerLoadReport(
                     OptionalDouble.of(settings.lines() - held),
                     OptionalDouble.of(settings.lines()),
                     OptionalDouble.empty(),
--- a/src/test/java/damsonseam/ColdFleetTest.java
+++ b/src/test/java/damsonseam/ColdFleetStartTest.java
@@ -2,16 +2,16 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonseam.Front.Actions;
-import damsonseam.Front.Call;
-import damsonseam.Front.CallClass;
-import damsonseam.Front.Ending;
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.ServerEntry;
-import damsonseam.Front.Settings;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.AttemptOutcome;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.Call;
+import damsonseam.RoutingPolicy.CallClass;
+import damsonseam.RoutingPolicy.PolicyActions;
+import damsonseam.RoutingPolicy.PolicySettings;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerEntry;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,7 +27,7 @@
  * A cold server before a fleet of modules that share nothing, with uneven traffic and news that reach them at
  * different times: the sum of what they send stays within the budget of the settings in every window.
  */
-class ColdFleetTest {
+class ColdFleetStartTest {
     private static final int SERVERS = 12;
     private static final double TIP = 3;
     private static final double COLD_FROM = 0.35;
@@ -63,8 +63,8 @@
     }
 
     /** One front: its module, and what it has out. */
-    private final class Fleetling implements Actions {
-        private final Decide module;
+    private final class Fleetling implements PolicyActions {
+        private final CongestionControlPolicy module;
         private double toldAt = Double.POSITIVE_INFINITY;
 
         Fleetling(int fronts, long seed) {
@@ -74,8 +74,8 @@
                     OptionalDouble.of(1),
                     OptionalDouble.of(0.25),
                     Optional.empty());
-            module = new Decide(
-                    new Settings(
+            module = new CongestionControlPolicy(
+                    new PolicySettings(
                             seed,
                             OptionalInt.of(fronts),
                             List.of(plain),
@@ -100,11 +100,11 @@
 
         void act(Runnable event) {
             event.run();
-            module.settled(now);
+            module.onBatchEnd(now);
         }
 
         @Override
-        public void send(long call, String server, double abandonAt) {
+        public void sendSetUp(long call, String server, double abandonAt) {
             attempts++;
             if (server.equals("s0") && now >= toldAt) {
                 arrived();
@@ -113,52 +113,54 @@
             at(
                     now + ANSWER,
                     () -> act(() -> {
-                        module.probed(now, server, false, true, 0, Report.NONE);
-                        module.stands(now, call, server, 0, now - sent);
+                        module.onProbeResult(now, server, false, true, 0, ServerLoadReport.NONE);
+                        module.onCallEstablished(now, call, server, 0, now - sent);
                     }));
             at(
                     now + ANSWER + HOLD,
-                    () -> act(() -> module.ended(
+                    () -> act(() -> module.onAttemptOutcome(
                             now,
-                            new Ending(
+                            new AttemptOutcome(
                                     call,
                                     server,
                                     0,
                                     now - sent,
-                                    Result.COMPLETED,
-                                    Reason.NONE,
+                                    AttemptStatus.COMPLETED,
+                                    RejectReason.NONE,
                                     OptionalDouble.empty(),
                                     true,
-                                    Report.NONE))));
+                                    ServerLoadReport.NONE))));
         }
 
         @Override
-        public void probe(String server) {
+        public void sendProbe(String server) {
             if (server.equals("s0") && now >= toldAt) {
                 arrived();
             }
-            at(now + ANSWER, () -> act(() -> module.probed(now, server, true, true, ANSWER, Report.NONE)));
+            at(
+                    now + ANSWER,
+                    () -> act(() -> module.onProbeResult(now, server, true, true, ANSWER, ServerLoadReport.NONE)));
         }
 
         @Override
-        public void timer(double after, long token) {
-            at(now + after, () -> act(() -> module.timer(now, token)));
+        public void startTimer(double after, long token) {
+            at(now + after, () -> act(() -> module.onTimer(now, token)));
         }
 
         @Override
-        public void refuse(long call, double returnAfter) {}
+        public void refuseCall(long call, double returnAfter) {}
 
         @Override
-        public void fail(long call) {}
+        public void failCall(long call) {}
 
         @Override
-        public void cancel(long call, int attempt) {}
+        public void cancelAttempt(long call, int attempt) {}
 
         @Override
-        public void fetchList() {}
+        public void fetchServerList() {}
 
         @Override
-        public void followList() {}
+        public void followServerList() {}
     }
 
     private static double next(SplittableRandom random, double rate) {
@@ -206,26 +208,28 @@
         }
         List<ServerEntry> list = new ArrayList<>();
         for (int s = 0; s < SERVERS; s++) {
-            list.add(new ServerEntry("s" + s, s, OptionalDouble.empty(), State.RUNNING));
+            list.add(new ServerEntry("s" + s, s, OptionalDouble.empty(), ServerState.RUNNING));
         }
         long[] call = {1};
         for (int i = 0; i < fronts; i++) {
             Fleetling front = fleet.get(i);
-            front.act(() -> front.module.serverList(now, true, list));
+            front.act(() -> front.module.onServerListUpdate(now, true, list));
             double rate = perSecond * weight[i] / all / 1_000;
             for (double t = next(random, rate); t < END; t += next(random, rate)) {
                 int choice = random.nextInt(SERVERS);
                 at(
                         t,
-                        () -> front.act(() -> front.module.offered(
+                        () -> front.act(() -> front.module.onCallOffered(
                                 now, new Call(call[0]++, "n" + call[0], 0, choice, 9_000, false, false))));
             }
             // The news of the start reach the fronts one after the other.
             double told = RESTART + random.nextDouble() * 1_000;
             at(told, () -> {
                 front.toldAt = now;
-                front.act(() -> front.module.serverList(
-                        now, false, List.of(new ServerEntry("s0", 0, OptionalDouble.of(RESTART), State.RUNNING))));
+                front.act(() -> front.module.onServerListUpdate(
+                        now,
+                        false,
+                        List.of(new ServerEntry("s0", 0, OptionalDouble.of(RESTART), ServerState.RUNNING))));
             });
         }
         while (!events.isEmpty() && events.peek().at < END) {
--- a/src/test/java/damsonseam/DecideTest.java
+++ b/src/test/java/damsonseam/CongestionControlPolicyTest.java
@@ -5,18 +5,18 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Result;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerState;
 import org.junit.jupiter.api.Test;
 
 /** The module through its interface, on a scripted clock. */
-class DecideTest {
+class CongestionControlPolicyTest {
     private static final double QUICK = 20;
 
     /** A front with two servers that have each answered long enough to be known. */
-    private static Script known() {
-        Script s = new Script(Script.settings().build()).servers("a", "b");
+    private static PolicyScript known() {
+        PolicyScript s = new PolicyScript(PolicyScript.settings().build()).servers("a", "b");
         for (int i = 0; i < 20; i++) {
             s.standing(0, QUICK);
             s.standing(1, QUICK);
@@ -27,14 +27,14 @@
 
     @Test
     void aCallGoesToItsFirstChoiceWhileThatIsOpen() {
-        Script s = known();
+        PolicyScript s = known();
         assertEquals("a", s.sentTo(s.offer(0, 0)));
         assertEquals("b", s.sentTo(s.offer(0, 1)));
     }
 
     @Test
     void aSilentServerIsTestedOnceAndItsCallsGoElsewhere() {
-        Script s = known();
+        PolicyScript s = known();
         s.offer(0, 0);
         s.run(400);
         assertEquals("a", s.sentTo(s.offer(0, 0)));
@@ -44,7 +44,7 @@
 
     @Test
     void aLongDelayStopsLowerRanksFirst() {
-        Script s = known();
+        PolicyScript s = known();
         s.wait("a", 330);
         s.wait("b", 330);
         assertFalse(s.isOut(s.offer(0, 0)));
@@ -53,7 +53,7 @@
 
     @Test
     void aStoppedServerOpensAgainAtAbatement() {
-        Script s = known();
+        PolicyScript s = known();
         s.wait("a", 600);
         assertEquals("b", s.sentTo(s.offer(0, 0)));
         s.stand(s.lastCall(), QUICK);
@@ -63,7 +63,7 @@
 
     @Test
     void pastDiscardEverywhereACallIsRefusedAtOnce() {
-        Script s = known();
+        PolicyScript s = known();
         s.wait("a", 3000);
         s.wait("b", 3000);
         assertTrue(s.isRefused(s.offer(0, 0)));
@@ -71,7 +71,7 @@
 
     @Test
     void betweenOnsetAndDiscardACallIsHeldAndThenSent() {
-        Script s = known();
+        PolicyScript s = known();
         s.wait("a", 300);
         s.wait("b", 300);
         long held = s.offer(0, 0);
@@ -82,7 +82,7 @@
 
     @Test
     void heldCallsOfHigherWorthGoFirst() {
-        Script s = known();
+        PolicyScript s = known();
         s.full("a");
         s.full("b");
         long cheap = s.offer(0, 0);
@@ -93,7 +93,7 @@
 
     @Test
     void aPressedServerHasOneUnansweredSetUp() {
-        Script s = known();
+        PolicyScript s = known();
         s.wait("a", 330);
         s.wait("b", 330);
         s.offer(1, 0);
@@ -105,16 +105,16 @@
 
     @Test
     void aFullServerIsNotTriedAgainAtOnceByTheSameCall() {
-        Script s = known();
+        PolicyScript s = known();
         long call = s.offer(0, 0);
-        s.end(call, Result.FULL, Reason.PROCESSOR_FULL);
+        s.end(call, AttemptStatus.FULL, RejectReason.PROCESSOR_FULL);
         assertEquals("b", s.sentTo(call));
         assertEquals(2, s.sends(call));
     }
 
     @Test
     void aToldWaitIsHonoured() {
-        Script s = known();
+        PolicyScript s = known();
         s.endTold(s.offer(1, 0), 5000);
         s.stand(s.lastCall(), QUICK);
         s.run(3000);
@@ -123,9 +123,9 @@
 
     @Test
     void theReleaseIsAwaitedAfterAReset() {
-        Script s = known();
+        PolicyScript s = known();
         long call = s.offer(0, 0);
-        s.end(call, Result.RESET, Reason.NONE);
+        s.end(call, AttemptStatus.RESET, RejectReason.NONE);
         assertEquals(1, s.sends(call));
         s.run(295);
         assertEquals(1, s.sends(call));
@@ -135,7 +135,7 @@
 
     @Test
     void aCallNeverHasTwoAttemptsOut() {
-        Script s = known();
+        PolicyScript s = known();
         for (int i = 0; i < 200; i++) {
             s.offer(i % 2, i % 2);
             s.run(37);
@@ -147,7 +147,7 @@
 
     @Test
     void everyCallIsAnsweredInTimeThoughNoServerEverAnswers() {
-        Script s = new Script(Script.settings().build()).servers("a", "b");
+        PolicyScript s = new PolicyScript(PolicyScript.settings().build()).servers("a", "b");
         for (int i = 0; i < 100; i++) {
             s.offer(i % 2, i % 2);
             s.run(50);
@@ -158,23 +158,23 @@
 
     @Test
     void withoutServersACallIsRefusedAtOnce() {
-        Script s = new Script(Script.settings().build());
+        PolicyScript s = new PolicyScript(PolicyScript.settings().build());
         assertTrue(s.isRefused(s.offer(0, 0)));
     }
 
     @Test
     void nothingGoesToADrainingOrLeftServer() {
-        Script s = known();
-        s.news("a", State.DRAINING);
+        PolicyScript s = known();
+        s.news("a", ServerState.DRAINING);
         assertEquals("b", s.sentTo(s.offer(0, 0)));
         s.stand(s.lastCall(), QUICK);
-        s.news("b", State.GONE);
+        s.news("b", ServerState.GONE);
         assertTrue(s.isRefused(s.offer(0, 1)));
     }
 
     @Test
     void aColdServerGetsOneUnansweredAtATime() {
-        Script s = known();
+        PolicyScript s = known();
         s.started("a");
         for (int i = 0; i < 10; i++) {
             s.offer(1, 0);
@@ -185,17 +185,17 @@
 
     @Test
     void aServerThatDiedIsLeftBeforeTheListTells() {
-        Script s = known();
-        s.end(s.offer(0, 0), Result.UNREACHABLE, Reason.NONE);
-        s.end(s.offer(0, 0), Result.UNREACHABLE, Reason.NONE);
+        PolicyScript s = known();
+        s.end(s.offer(0, 0), AttemptStatus.UNREACHABLE, RejectReason.NONE);
+        s.end(s.offer(0, 0), AttemptStatus.UNREACHABLE, RejectReason.NONE);
         assertEquals("b", s.sentTo(s.offer(0, 0)));
     }
 
     @Test
     void aServerFoundAliveAgainIsTreatedAsCold() {
-        Script s = known();
+        PolicyScript s = known();
         for (int i = 0; i < 3; i++) {
-            s.end(s.offer(0, 0), Result.UNREACHABLE, Reason.NONE);
+            s.end(s.offer(0, 0), AttemptStatus.UNREACHABLE, RejectReason.NONE);
         }
         s.run(1500);
         s.probeAnswer("a");
@@ -207,13 +207,13 @@
 
     @Test
     void setUpsThatBreakAfterLaterOnesStoodCloseNothing() {
-        Script s = known();
+        PolicyScript s = known();
         long one = s.offer(1, 0);
         long two = s.offer(1, 0);
         s.run(5);
         s.stand(s.offer(0, 0), QUICK);
-        s.end(one, Result.RESET, Reason.NONE);
-        s.end(two, Result.RESET, Reason.NONE);
+        s.end(one, AttemptStatus.RESET, RejectReason.NONE);
+        s.end(two, AttemptStatus.RESET, RejectReason.NONE);
         for (int i = 0; i < 4; i++) {
             assertEquals("a", s.sentTo(s.offer(0, 0)));
         }
@@ -221,7 +221,7 @@
 
     @Test
     void anOvertakenSetUpIsLostAndTriedAgain() {
-        Script s = known();
+        PolicyScript s = known();
         long lost = s.offer(0, 0);
         s.run(60);
         s.stand(s.offer(0, 0), QUICK);
@@ -232,16 +232,16 @@
 
     @Test
     void whatASilenceProvedStaysTrueWhenTheSetUpIsGivenUp() {
-        Script s = known();
+        PolicyScript s = known();
         long call = s.offer(1, 0);
         s.run(900);
-        s.end(call, Result.TIMED_OUT, Reason.NONE);
+        s.end(call, AttemptStatus.TIMED_OUT, RejectReason.NONE);
         assertNotEquals("a", s.sentTo(s.offer(0, 0)));
     }
 
     @Test
     void aHeldCallLosesItsRankOnceItCannotBeInTime() {
-        Script s = known();
+        PolicyScript s = known();
         s.wait("a", 400);
         s.wait("b", 400);
         long old = s.offer(0, 0);
@@ -253,7 +253,7 @@
 
     @Test
     void aNewServerIsTriedByOneSetUpAtATime() {
-        Script s = known().servers("a", "b", "c");
+        PolicyScript s = known().servers("a", "b", "c");
         for (int i = 0; i < 6; i++) {
             s.offer(1, 2);
         }
@@ -262,12 +262,12 @@
 
     @Test
     void aServerThatTurnsAllAwayDrawsFewCalls() {
-        Script s = known();
+        PolicyScript s = known();
         int turnedAway = 0;
         for (int i = 0; i < 40; i++) {
             long call = s.offer(0, 0);
             if ("a".equals(s.sentTo(call))) {
-                s.end(call, Result.FULL, Reason.PROCESSOR_FULL);
+                s.end(call, AttemptStatus.FULL, RejectReason.PROCESSOR_FULL);
                 turnedAway++;
             }
             s.stand(call, QUICK);
@@ -278,7 +278,7 @@
 
     @Test
     void theLastFreeLinesAreKeptForTheCallsOfMoreWorth() {
-        Script s = known();
+        PolicyScript s = known();
         s.lines("a", 3, 100);
         assertEquals("b", s.sentTo(s.offer(0, 0)));
         assertEquals("a", s.sentTo(s.offer(1, 0)));
@@ -286,8 +286,8 @@
 
     @Test
     void aServerWithoutAFreeLineIsLeftUntilNewsOrAWhile() {
-        Script s = known();
-        s.end(s.offer(1, 0), Result.FULL, Reason.NO_LINE);
+        PolicyScript s = known();
+        s.end(s.offer(1, 0), AttemptStatus.FULL, RejectReason.NO_LINE);
         assertEquals("b", s.sentTo(s.offer(1, 0)));
         s.stand(s.lastCall(), QUICK);
         s.lines("a", 50, 100);
@@ -296,7 +296,7 @@
 
     @Test
     void aboveTheRoomTheEstimateFallsBackMoreSlowly() {
-        Script s = known();
+        PolicyScript s = known();
         s.wait("a", 2000);
         s.run(2100);
         assertEquals("b", s.sentTo(s.offer(0, 0)));
@@ -307,7 +307,7 @@
 
     @Test
     void aFailedListIsAskedForAgainAfterAWhile() {
-        Script s = new Script(Script.settings().build());
+        PolicyScript s = new PolicyScript(PolicyScript.settings().build());
         s.listFailed();
         assertFalse(s.log().contains("follow"));
         s.run(1100);
@@ -316,7 +316,7 @@
 
     @Test
     void theModuleKeepsToItsLimitOfLines() throws java.io.IOException {
-        java.nio.file.Path module = java.nio.file.Path.of("src/main/java/damsonseam/Decide.java");
+        java.nio.file.Path module = java.nio.file.Path.of("src/main/java/damsonseam/CongestionControlPolicy.java");
         long lines = java.nio.file.Files.readAllLines(module).size();
         assertTrue(lines <= 1_300, lines + " lines");
         assertTrue(java.nio.file.Files.readAllLines(module).stream().allMatch(l -> l.length() <= 120));
@@ -324,7 +324,7 @@
 
     @Test
     void afterAbatementOneSetUpGoesUntilAnAnswerShowsAShortWait() {
-        Script s = known();
+        PolicyScript s = known();
         s.wait("a", 300);
         assertEquals("b", s.sentTo(s.offer(0, 0)));
         s.stand(s.lastCall(), QUICK);
@@ -338,8 +338,8 @@
 
     @Test
     void aBusyNumberIsRefusedForAWhile() {
-        Script s = known();
-        s.end(s.offerTo("7", 0), Result.ERROR, Reason.NUMBER_BUSY);
+        PolicyScript s = known();
+        s.end(s.offerTo("7", 0), AttemptStatus.ERROR, RejectReason.NUMBER_BUSY);
         assertTrue(s.isRefused(s.offerTo("7", 0)));
         assertFalse(s.isRefused(s.offerTo("8", 0)));
         s.run(3000);
@@ -348,7 +348,7 @@
 
     @Test
     void aCallThatStoodAndWasThenCalledBackIsAnsweredAgain() {
-        Script s = known();
+        PolicyScript s = known();
         long call = s.offer(0, 0);
         s.standThenCancelled(call);
         assertTrue(s.isFailed(call));
@@ -356,7 +356,7 @@
 
     @Test
     void allNewsOfAMomentIsHeardBeforeAnythingIsCalledBack() {
-        Script s = known();
+        PolicyScript s = known();
         long lost = s.offer(0, 0);
         s.run(60);
         s.standTogether(s.offer(0, 0), lost);
@@ -366,7 +366,7 @@
 
     @Test
     void theWaitOfAFrontThatStoodStillIsNotTheServers() {
-        Script s = known();
+        PolicyScript s = known();
         long call = s.offer(0, 0);
         s.pause(1500);
         s.stand(call, 1500);
@@ -375,8 +375,8 @@
 
     @Test
     void aDepartedCallersSetUpLeavesNothingBehind() {
-        Script s = known();
-        s.leaveThenEnd(s.offer(0, 0), Result.CANCELLED);
+        PolicyScript s = known();
+        s.leaveThenEnd(s.offer(0, 0), AttemptStatus.CANCELLED);
         s.run(5000);
         assertEquals("a", s.sentTo(s.offer(0, 0)));
         assertEquals("a", s.sentTo(s.offer(0, 0)));
@@ -384,7 +384,7 @@
 
     @Test
     void aCallerWhoWasRefusedAndDialsAgainIsLateThoughNothingMarksIt() {
-        Script s = known();
+        PolicyScript s = known();
         s.wait("a", 700);
         s.wait("b", 700);
         assertTrue(s.isRefused(s.offerTo("7", 0)));
@@ -402,7 +402,7 @@
 
     @Test
     void whatALargeServerCannotTakeSparesTheSmallOnes() {
-        Script s = new Script(Script.settings().build()).servers("full", "large", "small");
+        PolicyScript s = new PolicyScript(PolicyScript.settings().build()).servers("full", "large", "small");
         s.lines("full", 0, 1000);
         s.lines("large", 200, 1000);
         s.lines("small", 40, 50);
@@ -426,10 +426,10 @@
 
     @Test
     void attemptsAreCapped() {
-        Script s = known();
+        PolicyScript s = known();
         long call = s.offer(0, 0);
         for (int i = 0; i < 3; i++) {
-            s.end(call, Result.NOT_SENT, Reason.NONE);
+            s.end(call, AttemptStatus.NOT_SENT, RejectReason.NONE);
             s.run(100);
         }
         assertTrue(s.sends(call) <= 3);
@@ -444,7 +444,7 @@
 
     @Test
     void absentSettingsAreSane() {
-        Script s = new Script(Script.settings().absent()).servers("a");
+        PolicyScript s = new PolicyScript(PolicyScript.settings().absent()).servers("a");
         for (int i = 0; i < 50; i++) {
             s.offer(0, 0);
             s.run(100);
@@ -453,8 +453,8 @@
         assertTrue(s.overdue().isEmpty());
     }
 
-    private static Script busyDay(int seed) {
-        Script s = new Script(Script.settings().seed(seed)).servers("a", "b", "c");
+    private static PolicyScript busyDay(int seed) {
+        PolicyScript s = new PolicyScript(PolicyScript.settings().seed(seed)).servers("a", "b", "c");
         for (int i = 0; i < 300; i++) {
             long call = s.offer(i % 2, i % 3);
             if (i % 4 != 0 && s.isOut(call)) {
--- a/src/test/java/damsonseam/ModuleCost.java
+++ b/src/test/java/damsonseam/PolicyCostBenchmark.java
@@ -1,11 +1,11 @@
 package damsonseam;
 
 /** What a call costs the module at half load and at one and a half, acting after each call; see bench/README.md. */
-final class ModuleCost {
+final class PolicyCostBenchmark {
     private static final int ROUNDS = 3;
     private static final double CAPACITY = 10_000;
 
-    private ModuleCost() {}
+    private PolicyCostBenchmark() {}
 
     public static void main(String[] args) {
         for (int servers : new int[] {10, 100, 1_000}) {
@@ -15,8 +15,8 @@
             for (int round = 0; round < ROUNDS; round++) {
                 for (int i = 0; i < 2; i++) {
                     double load = i == 0 ? 0.5 : 1.5;
-                    ModuleStream stream =
-                            new ModuleStream(1, servers, load, CAPACITY * load, false, s -> a -> new Decide(s, a));
+                    SimulatedCallStream stream = new SimulatedCallStream(
+                            1, servers, load, CAPACITY * load, false, s -> a -> new CongestionControlPolicy(s, a));
                     stream.each = true;
                     stream.run(servers == 1_000 ? 1.5 : 3, false);
                     each[i] = stream.spentNs / (double) stream.offered;
--- a/src/test/java/damsonseam/Script.java
+++ b/src/test/java/damsonseam/PolicyScript.java
@@ -1,15 +1,15 @@
 package damsonseam;
 
-import damsonseam.Front.Actions;
-import damsonseam.Front.Call;
-import damsonseam.Front.CallClass;
-import damsonseam.Front.Ending;
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.ServerEntry;
-import damsonseam.Front.Settings;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.AttemptOutcome;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.Call;
+import damsonseam.RoutingPolicy.CallClass;
+import damsonseam.RoutingPolicy.PolicyActions;
+import damsonseam.RoutingPolicy.PolicySettings;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerEntry;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -21,10 +21,10 @@
 import java.util.PriorityQueue;
 
 /** Drives one module on a scripted clock and records its actions. Attempts end at their abandon time. */
-final class Script implements Actions {
+final class PolicyScript implements PolicyActions {
     private static final double TRY = 3000;
 
-    private final Front front;
+    private final RoutingPolicy front;
     private final StringBuilder log = new StringBuilder();
     private final Map<Long, Attempt> out = new LinkedHashMap<>();
     private final Map<Long, Double> owed = new LinkedHashMap<>();
@@ -40,8 +40,8 @@
 
     private record Attempt(String server, double at, double abandonAt, int number) {}
 
-    Script(Settings settings) {
-        front = new Decide(settings, this);
+    PolicyScript(PolicySettings settings) {
+        front = new CongestionControlPolicy(settings, this);
     }
 
     /** Settings of a front of four, with two classes of worth 1 and 5. */
@@ -51,12 +51,12 @@
 
     /** Builds settings for a script. */
     static final class Builder {
-        Settings build() {
+        PolicySettings build() {
             return seed(5);
         }
 
-        Settings seed(long seed) {
-            return new Settings(
+        PolicySettings seed(long seed) {
+            return new PolicySettings(
                     seed,
                     OptionalInt.of(4),
                     List.of(callClass(1), callClass(5)),
@@ -78,10 +78,10 @@
                     of(2000));
         }
 
-        Settings absent() {
+        PolicySettings absent() {
             OptionalDouble no = OptionalDouble.empty();
             CallClass bare = new CallClass(no, no, no, no, Optional.empty());
-            return new Settings(
+            return new PolicySettings(
                     1,
                     OptionalInt.empty(),
                     List.of(bare),
@@ -112,26 +112,27 @@
         }
     }
 
-    Script servers(String... ids) {
+    PolicyScript servers(String... ids) {
         List<ServerEntry> entries = new ArrayList<>();
         for (String id : ids) {
             numbers.putIfAbsent(id, numbers.size());
-            entries.add(new ServerEntry(id, numbers.get(id), OptionalDouble.empty(), State.RUNNING));
+            entries.add(new ServerEntry(id, numbers.get(id), OptionalDouble.empty(), ServerState.RUNNING));
         }
-        front.serverList(now, true, entries);
-        front.settled(now);
+        front.onServerListUpdate(now, true, entries);
+        front.onBatchEnd(now);
         return this;
     }
 
-    void news(String id, State state) {
-        front.serverList(now, false, List.of(new ServerEntry(id, numbers.get(id), OptionalDouble.empty(), state)));
-        front.settled(now);
+    void news(String id, ServerState state) {
+        front.onServerListUpdate(
+                now, false, List.of(new ServerEntry(id, numbers.get(id), OptionalDouble.empty(), state)));
+        front.onBatchEnd(now);
     }
 
     void started(String id) {
-        front.serverList(
-                now, false, List.of(new ServerEntry(id, numbers.get(id), OptionalDouble.of(now), State.RUNNING)));
-        front.settled(now);
+        front.onServerListUpdate(
+                now, false, List.of(new ServerEntry(id, numbers.get(id), OptionalDouble.of(now), ServerState.RUNNING)));
+        front.onBatchEnd(now);
     }
 
     long offer(int callClass, int firstChoice) {
@@ -145,8 +146,8 @@
     private long offer(String number, int callClass, int firstChoice) {
         long id = nextCall++;
         owed.put(id, now + TRY);
-        front.offered(now, new Call(id, number, callClass, firstChoice, TRY, false, false));
-        front.settled(now);
+        front.onCallOffered(now, new Call(id, number, callClass, firstChoice, TRY, false, false));
+        front.onBatchEnd(now);
         return id;
     }
 
@@ -176,38 +177,38 @@
     void full(String server) {
         long call = offer(1, numbers.get(server));
         if (isOut(call) && server.equals(sentTo(call))) {
-            end(call, Result.FULL, Reason.PROCESSOR_FULL);
+            end(call, AttemptStatus.FULL, RejectReason.PROCESSOR_FULL);
         }
         out.remove(call);
         owed.remove(call);
-        front.left(now, call);
-        front.settled(now);
+        front.onCallAbandoned(now, call);
+        front.onBatchEnd(now);
     }
 
     void stand(long call, double delay) {
         Attempt a = out.remove(call);
         owed.remove(call);
-        front.stands(now, call, a.server, a.number, delay);
-        front.settled(now);
+        front.onCallEstablished(now, call, a.server, a.number, delay);
+        front.onBatchEnd(now);
     }
 
     /** The answer and the cancel cross: the call stands and is cut at once, which leaves it unanswered. */
     void standThenCancelled(long call) {
         Attempt a = out.get(call);
         stand(call, now - a.at);
-        front.ended(
+        front.onAttemptOutcome(
                 now,
-                new Ending(
+                new AttemptOutcome(
                         call,
                         a.server,
                         a.number,
                         now - a.at,
-                        Result.CANCELLED,
-                        Reason.NONE,
+                        AttemptStatus.CANCELLED,
+                        RejectReason.NONE,
                         OptionalDouble.empty(),
                         false,
-                        Report.NONE));
-        front.settled(now);
+                        ServerLoadReport.NONE));
+        front.onBatchEnd(now);
     }
 
     /** Both answers come at the same moment, the younger set-up's first. */
@@ -215,9 +216,9 @@
         for (long call : new long[] {young, old}) {
             Attempt a = out.remove(call);
             owed.remove(call);
-            front.stands(now, call, a.server, a.number, now - a.at);
+            front.onCallEstablished(now, call, a.server, a.number, now - a.at);
         }
-        front.settled(now);
+        front.onBatchEnd(now);
     }
 
     /** The front stands still: timers that came due are handed over late. */
@@ -225,60 +226,62 @@
         now += span;
     }
 
-    void leaveThenEnd(long call, Result result) {
+    void leaveThenEnd(long call, AttemptStatus result) {
         Attempt a = out.remove(call);
         owed.remove(call);
-        front.left(now, call);
-        front.ended(
+        front.onCallAbandoned(now, call);
+        front.onAttemptOutcome(
                 now,
-                new Ending(
+                new AttemptOutcome(
                         call,
                         a.server,
                         a.number,
                         now - a.at,
                         result,
-                        Reason.NONE,
+                        RejectReason.NONE,
                         OptionalDouble.empty(),
                         true,
-                        Report.NONE));
-        front.settled(now);
+                        ServerLoadReport.NONE));
+        front.onBatchEnd(now);
     }
 
-    void end(long call, Result result, Reason reason) {
+    void end(long call, AttemptStatus result, RejectReason reason) {
         end(call, result, reason, OptionalDouble.empty());
     }
 
     void endTold(long call, double told) {
-        end(call, Result.FULL, Reason.PROCESSOR_FULL, OptionalDouble.of(told));
+        end(call, AttemptStatus.FULL, RejectReason.PROCESSOR_FULL, OptionalDouble.of(told));
     }
 
-    private void end(long call, Result result, Reason reason, OptionalDouble told) {
+    private void end(long call, AttemptStatus result, RejectReason reason, OptionalDouble told) {
         Attempt a = out.remove(call);
         if (a != null) {
-            front.ended(
-                    now, new Ending(call, a.server, a.number, now - a.at, result, reason, told, false, Report.NONE));
-            front.settled(now);
+            front.onAttemptOutcome(
+                    now,
+                    new AttemptOutcome(
+                            call, a.server, a.number, now - a.at, result, reason, told, false, ServerLoadReport.NONE));
+            front.onBatchEnd(now);
         }
     }
 
     void probeAnswer(String server) {
-        front.probed(now, server, true, true, 20, Report.NONE);
-        front.settled(now);
+        front.onProbeResult(now, server, true, true, 20, ServerLoadReport.NONE);
+        front.onBatchEnd(now);
     }
 
     void listFailed() {
-        front.listFailed(now);
-        front.settled(now);
+        front.onServerListFailure(now);
+        front.onBatchEnd(now);
     }
 
     void lines(String server, double free, double all) {
-        front.probed(now, server, false, true, 0, report(free, all));
-        front.settled(now);
+        front.onProbeResult(now, server, false, true, 0, report(free, all));
+        front.onBatchEnd(now);
     }
 
-    private static Report report(double free, double all) {
+    private static ServerLoadReport report(double free, double all) {
         OptionalDouble no = OptionalDouble.empty();
-        return new Report(OptionalDouble.of(free), OptionalDouble.of(all), no, no, no);
+        return new ServerLoadReport(OptionalDouble.of(free), OptionalDouble.of(all), no, no, no);
     }
 
     /** Lets time pass: timers come due, attempts are abandoned, callers who got no answer are noted. */
@@ -287,15 +290,15 @@
         while (now < end) {
             now = Math.min(end, now + 5);
             while (!timers.isEmpty() && timers.peek()[0] <= now) {
-                front.timer(now, (long) timers.poll()[1]);
-                front.settled(now);
+                front.onTimer(now, (long) timers.poll()[1]);
+                front.onBatchEnd(now);
             }
             for (Map.Entry<Long, Attempt> e : List.copyOf(out.entrySet())) {
                 if (cancelled.remove(e.getKey()) != null) {
                     cancelledOnce.put(e.getKey(), true);
-                    end(e.getKey(), Result.CANCELLED, Reason.NONE);
+                    end(e.getKey(), AttemptStatus.CANCELLED, RejectReason.NONE);
                 } else if (e.getValue().abandonAt <= now) {
-                    end(e.getKey(), Result.TIMED_OUT, Reason.NONE);
+                    end(e.getKey(), AttemptStatus.TIMED_OUT, RejectReason.NONE);
                 }
             }
             owed.forEach((call, by) -> {
@@ -355,7 +358,7 @@
     }
 
     @Override
-    public void send(long call, String server, double abandonAt) {
+    public void sendSetUp(long call, String server, double abandonAt) {
         log.append(now).append(" send ").append(call).append(' ').append(server).append('\n');
         List<Attempt> attempts = sent.computeIfAbsent(call, c -> new ArrayList<>());
         Attempt a = new Attempt(server, now, abandonAt, attempts.size());
@@ -364,12 +367,12 @@
     }
 
     @Override
-    public void refuse(long call, double returnAfter) {
+    public void refuseCall(long call, double returnAfter) {
         answer(call, "refused");
     }
 
     @Override
-    public void fail(long call) {
+    public void failCall(long call) {
         answer(call, "failed");
     }
 
@@ -382,27 +385,27 @@
     }
 
     @Override
-    public void cancel(long call, int attempt) {
+    public void cancelAttempt(long call, int attempt) {
         cancelled.put(call, true);
     }
 
     @Override
-    public void timer(double after, long token) {
+    public void startTimer(double after, long token) {
         timers.add(new double[] {now + after, token});
     }
 
     @Override
-    public void probe(String server) {
+    public void sendProbe(String server) {
         log.append(now).append(" probe ").append(server).append('\n');
     }
 
     @Override
-    public void fetchList() {
+    public void fetchServerList() {
         log.append("fetch\n");
     }
 
     @Override
-    public void followList() {
+    public void followServerList() {
         log.append("follow\n");
     }
 }
--- a/src/test/java/damsonseam/ModuleStream.java
+++ b/src/test/java/damsonseam/SimulatedCallStream.java
@@ -1,15 +1,15 @@
 package damsonseam;
 
-import damsonseam.Front.Actions;
-import damsonseam.Front.Call;
-import damsonseam.Front.CallClass;
-import damsonseam.Front.Ending;
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.ServerEntry;
-import damsonseam.Front.Settings;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.AttemptOutcome;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.Call;
+import damsonseam.RoutingPolicy.CallClass;
+import damsonseam.RoutingPolicy.PolicyActions;
+import damsonseam.RoutingPolicy.PolicySettings;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerEntry;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -30,7 +30,7 @@
  * drains, cold restarts, slow spells, lost answers and pauses, all from a seed. What the module does is hashed,
  * every number to its last bit, so that two modules can be told to decide alike.
  */
-final class ModuleStream implements Actions {
+final class SimulatedCallStream implements PolicyActions {
     private static final double TICK = 5;
     private static final double PATIENCE = 3_000;
 
@@ -72,7 +72,7 @@
     }
 
     private final SplittableRandom random;
-    private final Front front;
+    private final RoutingPolicy front;
     private final List<Server> servers = new ArrayList<>();
     private final Map<Long, Try> open = new HashMap<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>(
@@ -98,13 +98,13 @@
     int mostOpen;
 
     /** {@code load} is offered work over capacity; with {@code sets} calls name the servers they may use. */
-    ModuleStream(
+    SimulatedCallStream(
             long seed,
             int count,
             double load,
             double callsPerS,
             boolean sets,
-            Function<Settings, Function<Actions, Front>> module) {
+            Function<PolicySettings, Function<PolicyActions, RoutingPolicy>> module) {
         random = new SplittableRandom(seed);
         rate = callsPerS;
         this.sets = sets;
@@ -114,7 +114,7 @@
             throw new IllegalStateException(e);
         }
         OptionalDouble none = OptionalDouble.empty();
-        Settings settings = new Settings(
+        PolicySettings settings = new PolicySettings(
                 seed,
                 OptionalInt.of(4),
                 List.of(
@@ -140,9 +140,9 @@
         List<ServerEntry> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             servers.add(new Server("s" + i, i, load * 1_000.0 * count / callsPerS));
-            list.add(new ServerEntry("s" + i, i, none, State.RUNNING));
+            list.add(new ServerEntry("s" + i, i, none, ServerState.RUNNING));
         }
-        front.serverList(now, true, list);
+        front.onServerListUpdate(now, true, list);
         heard = true;
     }
 
@@ -180,7 +180,7 @@
         if (heard) {
             heard = false;
             long start = System.nanoTime();
-            front.settled(now);
+            front.onBatchEnd(now);
             long took = System.nanoTime() - start;
             spentNs += took;
             longestNs = Math.max(longestNs, took);
@@ -200,7 +200,7 @@
         for (int i = 0; sets && i < 3; i++) {
             may.add((attempt.first + i) % servers.size());
         }
-        front.offered(
+        front.onCallOffered(
                 now,
                 new Call(
                         id,
@@ -222,20 +222,20 @@
                 s.life++;
                 for (Map.Entry<Long, Try> e : new java.util.TreeMap<>(open).entrySet()) {
                     if (e.getValue().server == s && (e.getValue().out || e.getValue().standing)) {
-                        end(e.getKey(), Result.RESET, Reason.NONE);
+                        end(e.getKey(), AttemptStatus.RESET, RejectReason.NONE);
                     }
                 }
-                later(1_500, () -> list(s, State.GONE, OptionalDouble.empty()));
+                later(1_500, () -> list(s, ServerState.GONE, OptionalDouble.empty()));
                 later(4_000, () -> {
                     s.dead = false;
                     s.busyUntil = now;
                     double since = now;
-                    later(800, () -> list(s, State.RUNNING, of(since)));
+                    later(800, () -> list(s, ServerState.RUNNING, of(since)));
                 });
             }
             case 1 -> {
-                list(s, State.DRAINING, OptionalDouble.empty());
-                later(3_000, () -> list(s, State.RUNNING, OptionalDouble.empty()));
+                list(s, ServerState.DRAINING, OptionalDouble.empty());
+                later(3_000, () -> list(s, ServerState.RUNNING, OptionalDouble.empty()));
             }
             case 2 -> {
                 s.work *= size;
@@ -253,14 +253,14 @@
         }
     }
 
-    private void list(Server s, State state, OptionalDouble since) {
-        front.serverList(now, false, List.of(new ServerEntry(s.id, s.number, since, state)));
+    private void list(Server s, ServerState state, OptionalDouble since) {
+        front.onServerListUpdate(now, false, List.of(new ServerEntry(s.id, s.number, since, state)));
         heard = true;
     }
 
-    private Report report(Server s) {
+    private ServerLoadReport report(Server s) {
         double wait = Math.max(0, s.busyUntil - now);
-        return new Report(
+        return new ServerLoadReport(
                 of(2_000 - s.lines),
                 of(2_000),
                 OptionalDouble.empty(),
@@ -268,7 +268,7 @@
                 of(Math.floor(wait / s.work)));
     }
 
-    private void end(long id, Result result, Reason reason) {
+    private void end(long id, AttemptStatus result, RejectReason reason) {
         Try t = open.get(id);
         if (t == null || !t.out && !t.standing) {
             return;
@@ -280,9 +280,9 @@
         }
         t.out = false;
         t.standing = false;
-        front.ended(
+        front.onAttemptOutcome(
                 now,
-                new Ending(
+                new AttemptOutcome(
                         id,
                         t.server.id,
                         t.attempt,
@@ -301,7 +301,7 @@
     }
 
     @Override
-    public void send(long call, String server, double abandonAt) {
+    public void sendSetUp(long call, String server, double abandonAt) {
         log("send " + call + server + Double.doubleToLongBits(abandonAt));
         Try t = open.get(call);
         Server s = servers.get(Integer.parseInt(server.substring(1)));
@@ -312,16 +312,16 @@
         double sentAt = now;
         later(abandonAt - now, () -> {
             if (t.out && t.attempt == attempt) {
-                end(call, Result.TIMED_OUT, Reason.NONE);
+                end(call, AttemptStatus.TIMED_OUT, RejectReason.NONE);
             }
         });
         if (s.dead) {
-            later(TICK, () -> ifOut(t, attempt, () -> end(call, Result.UNREACHABLE, Reason.NONE)));
+            later(TICK, () -> ifOut(t, attempt, () -> end(call, AttemptStatus.UNREACHABLE, RejectReason.NONE)));
             return;
         }
         double wait = Math.max(0, s.busyUntil - now);
         if (wait > 2_500) {
-            later(12, () -> ifOut(t, attempt, () -> end(call, Result.FULL, Reason.PROCESSOR_FULL)));
+            later(12, () -> ifOut(t, attempt, () -> end(call, AttemptStatus.FULL, RejectReason.PROCESSOR_FULL)));
             return;
         }
         s.busyUntil = now + wait + s.work;
@@ -336,18 +336,18 @@
             }
             ifOut(t, attempt, () -> {
                 if (busyNumber) {
-                    end(call, Result.ERROR, Reason.NUMBER_BUSY);
+                    end(call, AttemptStatus.ERROR, RejectReason.NUMBER_BUSY);
                     return;
                 }
                 t.out = false;
                 t.standing = true;
                 s.lines++;
-                front.probed(now, s.id, false, true, 0, report(s));
-                front.stands(now, call, s.id, attempt, now - sentAt);
+                front.onProbeResult(now, s.id, false, true, 0, report(s));
+                front.onCallEstablished(now, call, s.id, attempt, now - sentAt);
                 heard = true;
                 later(hold, () -> {
                     if (t.standing && s.life == life) {
-                        end(call, Result.COMPLETED, Reason.NONE);
+                        end(call, AttemptStatus.COMPLETED, RejectReason.NONE);
                     }
                 });
             });
@@ -368,50 +368,50 @@
     }
 
     @Override
-    public void refuse(long call, double returnAfter) {
+    public void refuseCall(long call, double returnAfter) {
         log("refuse " + call + Double.doubleToLongBits(returnAfter));
         over(call);
     }
 
     @Override
-    public void fail(long call) {
+    public void failCall(long call) {
         log("fail " + call);
         over(call);
     }
 
     @Override
-    public void cancel(long call, int attempt) {
+    public void cancelAttempt(long call, int attempt) {
         log("cancel " + call + attempt);
         Try t = open.get(call);
-        later(TICK, () -> ifOut(t, attempt, () -> end(call, Result.CANCELLED, Reason.NONE)));
+        later(TICK, () -> ifOut(t, attempt, () -> end(call, AttemptStatus.CANCELLED, RejectReason.NONE)));
     }
 
     @Override
-    public void timer(double after, long token) {
+    public void startTimer(double after, long token) {
         log("timer " + Double.doubleToLongBits(after) + token);
         later(after, () -> {
-            front.timer(now, token);
+            front.onTimer(now, token);
             heard = true;
         });
     }
 
     @Override
-    public void probe(String server) {
+    public void sendProbe(String server) {
         log("probe " + server);
         Server s = servers.get(Integer.parseInt(server.substring(1)));
         later(TICK, () -> {
-            front.probed(now, server, true, !s.dead && !s.silent, 3, report(s));
+            front.onProbeResult(now, server, true, !s.dead && !s.silent, 3, report(s));
             heard = true;
         });
     }
 
     @Override
-    public void fetchList() {
+    public void fetchServerList() {
         log("fetch");
     }
 
     @Override
-    public void followList() {
+    public void followServerList() {
         log("follow");
     }
 }
--- a/src/test/java/damsonseam/ModuleStreamTest.java
+++ b/src/test/java/damsonseam/SimulatedCallStreamTest.java
@@ -11,7 +11,7 @@
  * module that walked all held calls and servers at each moment. Where a decision was changed on purpose since, they
  * were taken anew: resets of set-ups that later ones outlived (the sixth, without trouble, is the first one's still).
  */
-class ModuleStreamTest {
+class SimulatedCallStreamTest {
 
     @ParameterizedTest
     @CsvSource({
@@ -31,7 +31,8 @@
             boolean trouble,
             double seconds,
             String expected) {
-        ModuleStream stream = new ModuleStream(seed, servers, load, perS, sets, s -> a -> new Decide(s, a));
+        SimulatedCallStream stream =
+                new SimulatedCallStream(seed, servers, load, perS, sets, s -> a -> new CongestionControlPolicy(s, a));
         assertEquals(expected, stream.run(seconds, trouble));
         assertTrue(stream.actions > stream.offered / 2);
     }
--- a/src/test/java/damsonseam/adapter/WireTest.java
+++ b/src/test/java/damsonseam/adapter/WireAdapterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The adapter on text batches. */
-class WireTest {
+class WireAdapterTest {
     private static final String BOOT = "boot 0 11 Balancers=2 Caps.MaxAttempts=3 Caps.MayCancel=true"
             + " Caps.MayProbe=true Caps.RetryAfter=true Caps.MaxRetryAfter=2000.0 Discovery=push"
             + " FamilyInfo.Guard=300.0 FamilyInfo.SelfNo=-1 FamilyInfo.SkilledPools.count=1"
@@ -25,7 +25,7 @@
     private static String run(String input) {
         StringWriter out = new StringWriter();
         try {
-            new Wire(new BufferedReader(new StringReader(input)), out).run();
+            new WireAdapter(new BufferedReader(new StringReader(input)), out).run();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -37,7 +37,7 @@
     }
 
     private static void malformed(String event, String expected) {
-        WireException e = assertThrows(WireException.class, () -> started(event + "\n"));
+        WireFormatException e = assertThrows(WireFormatException.class, () -> started(event + "\n"));
         assertTrue(e.getMessage().startsWith("line 7: expected " + expected), e.getMessage());
     }
 
@@ -126,8 +126,8 @@
         malformed("roster_change 0 diff 1 9", "a list number seen before");
         malformed("result 0 7 0 18.5 - server.a 1 fine -", "a known outcome");
         malformed("datagram 0 1 6g", "bytes as hex digits");
-        assertThrows(WireException.class, () -> run("turn 5\nflush\nturn 4\nflush\n"));
-        assertThrows(WireException.class, () -> run("turn 5\n"));
-        assertThrows(WireException.class, () -> run("flush\n"));
+        assertThrows(WireFormatException.class, () -> run("turn 5\nflush\nturn 4\nflush\n"));
+        assertThrows(WireFormatException.class, () -> run("turn 5\n"));
+        assertThrows(WireFormatException.class, () -> run("flush\n"));
     }
 }
--- a/src/test/java/damsonseam/core/RouterTest.java
+++ b/src/test/java/damsonseam/core/RouterTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonseam.Decide;
-import damsonseam.Front;
-import damsonseam.Front.CallClass;
-import damsonseam.Front.Report;
-import damsonseam.Front.Settings;
-import damsonseam.Front.State;
+import damsonseam.CongestionControlPolicy;
+import damsonseam.RoutingPolicy;
+import damsonseam.RoutingPolicy.CallClass;
+import damsonseam.RoutingPolicy.PolicySettings;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -30,7 +30,7 @@
                 OptionalDouble.of(1),
                 OptionalDouble.of(0.25),
                 Optional.empty());
-        Settings settings = new Settings(
+        PolicySettings settings = new PolicySettings(
                 1,
                 OptionalInt.of(3),
                 List.of(plain),
@@ -52,14 +52,14 @@
                 OptionalDouble.of(2_000));
         router = new Router(
                 new RouterSettings(settings, 1_000, 2, 100, 8),
-                (Front.Actions act) -> new Decide(settings, act),
+                (RoutingPolicy.PolicyActions act) -> new CongestionControlPolicy(settings, act),
                 new CallTable(1_000, 1),
                 timers,
                 (call, number, deadline) -> {},
                 this,
                 this,
                 Story.NONE);
-        Pool.Server a = new Pool.Server("a", 0, "a:1", 0, State.RUNNING, OptionalDouble.empty());
+        Pool.Server a = new Pool.Server("a", 0, "a:1", 0, ServerState.RUNNING, OptionalDouble.empty());
         router.directory(0, 1, true, List.of(a));
         turn(1);
     }
@@ -94,7 +94,7 @@
         }
         CallRecord late = offer(now, 2_000);
         assertEquals(List.of(late.id()), sent, "a server that never failed gets the next call at once");
-        router.stands(now + 20, late.id(), 0, Report.NONE);
+        router.stands(now + 20, late.id(), 0, ServerLoadReport.NONE);
         turn(now + 20);
         assertEquals(List.of(FinalAnswer.Kind.STANDS), answers);
     }
--- a/src/test/java/damsonseam/dns/EnumServiceTest.java
+++ b/src/test/java/damsonseam/dns/EnumServiceTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonseam.sim.SimFront;
+import damsonseam.sim.SimulatedFront;
 import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -27,7 +27,7 @@
 /** What the ENUM service says to questions, sound and unsound. */
 class EnumServiceTest {
     private static final String NUMBER = "59821000000001";
-    private final SimFront front = new SimFront().start("s0");
+    private final SimulatedFront front = new SimulatedFront().start("s0");
 
     private Message ask(Message query) {
         front.octets("desk", query.toWire());
@@ -42,7 +42,7 @@
     }
 
     private static Name name(String number) {
-        return E164Name.of(number, SimFront.SUFFIX);
+        return E164Name.of(number, SimulatedFront.SUFFIX);
     }
 
     @Test
@@ -112,7 +112,7 @@
 
     @Test
     void theCallersOwnTimeShortensTheCall() {
-        front.modes.put("s0", SimFront.Mode.SILENT);
+        front.modes.put("s0", SimulatedFront.Mode.SILENT);
         Message query = query(name(NUMBER), Type.NAPTR, DClass.IN);
         query.addRecord(new OPTRecord(1232, 0, 0, 0, List.of(new CallHints(true, 500).option())), Section.ADDITIONAL);
         double asked = front.now;
@@ -124,7 +124,7 @@
 
     @Test
     void aRefusalCarriesTheAdvisedWait() {
-        SimFront full = new SimFront();
+        SimulatedFront full = new SimulatedFront();
         full.mostCalls = 1;
         full.start("s0");
         full.ask("a", 1, NUMBER);
@@ -140,9 +140,9 @@
     @Test
     void anAnswerTooLongForUdpIsCutAndSaysSo() throws Exception {
         Message query = query(name(NUMBER), Type.NAPTR, DClass.IN);
-        byte[] whole = EnumReplies.negative(query, Rcode.NXDOMAIN, SimFront.SUFFIX, DnsCodec.PLAIN_UDP);
+        byte[] whole = EnumReplies.negative(query, Rcode.NXDOMAIN, SimulatedFront.SUFFIX, DnsCodec.PLAIN_UDP);
         assertFalse(DnsCodec.decode(whole).getHeader().getFlag(Flags.TC));
-        byte[] cut = EnumReplies.negative(query, Rcode.NXDOMAIN, SimFront.SUFFIX, whole.length - 1);
+        byte[] cut = EnumReplies.negative(query, Rcode.NXDOMAIN, SimulatedFront.SUFFIX, whole.length - 1);
         assertTrue(cut.length < whole.length);
         assertTrue(DnsCodec.decode(cut).getHeader().getFlag(Flags.TC));
     }
@@ -150,13 +150,13 @@
     /** Any octets at all: nothing is thrown, and what is answered is a message. */
     @Property(tries = 2_000)
     void anyOctetsAreBorne(@ForAll @Size(max = 100) byte[] octets) {
-        SimFront any = SHARED;
+        SimulatedFront any = SHARED;
         any.octets("fuzz", octets);
         any.run(1);
         any.replies.clear();
     }
 
-    private static final SimFront SHARED = new SimFront().start("s0");
+    private static final SimulatedFront SHARED = new SimulatedFront().start("s0");
 
     @Test
     void questionsSentAgainAfterTheAnswerGetItAgain() {
--- a/src/test/java/damsonseam/sim/HardCasesTest.java
+++ b/src/test/java/damsonseam/sim/HardCasesTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonseam.Front.State;
-import damsonseam.sim.SimFront.Mode;
-import damsonseam.sim.SimFront.Reply;
-import damsonseam.sim.SimFront.Sent;
+import damsonseam.RoutingPolicy.ServerState;
+import damsonseam.sim.SimulatedFront.Mode;
+import damsonseam.sim.SimulatedFront.Reply;
+import damsonseam.sim.SimulatedFront.Sent;
 import damsonseam.ss7.Isup;
 import java.util.HashMap;
 import java.util.List;
@@ -22,11 +22,11 @@
     private static final String SIGNING = "59828000000001";
     private static final double PATIENCE = 3_000;
     private static final double SLACK = 20;
-    private final SimFront front = new SimFront();
+    private final SimulatedFront front = new SimulatedFront();
 
     private String only() {
         assertEquals(1, front.replies.size(), "answers");
-        return SimFront.kind(front.replies.get(0));
+        return SimulatedFront.kind(front.replies.get(0));
     }
 
     /** Fills the module's knowledge of the servers, so that it does not hold them for new ones. */
@@ -92,13 +92,13 @@
         front.start("s0", "s1");
         front.ask("desk", 1, TO_S0);
         front.run(100);
-        front.news("s0", 0, State.DRAINING, OptionalDouble.empty());
+        front.news("s0", 0, ServerState.DRAINING, OptionalDouble.empty());
         front.run(200);
         assertEquals("stands s0", only());
         front.ask("desk", 2, "59821000000002");
         front.run(300);
         assertEquals(1, front.setUps("s0").size(), "nothing new goes to a draining calculator");
-        assertEquals("stands s1", SimFront.kind(front.replies.get(1)));
+        assertEquals("stands s1", SimulatedFront.kind(front.replies.get(1)));
     }
 
     /** Drain news in the same read as an answer: the answer counts, the next call goes elsewhere at once. */
@@ -109,10 +109,10 @@
         front.ask("desk", 1, TO_S0);
         front.run(10);
         double answerAt = front.setUps("s0").get(0).at() + 50;
-        front.later(answerAt - front.now, () -> front.news("s0", 0, State.DRAINING, OptionalDouble.empty()));
+        front.later(answerAt - front.now, () -> front.news("s0", 0, ServerState.DRAINING, OptionalDouble.empty()));
         front.later(answerAt - front.now, () -> front.ask("desk", 2, "59821000000002"));
         front.run(200);
-        assertEquals("stands s0", SimFront.kind(front.replies.get(0)));
+        assertEquals("stands s0", SimulatedFront.kind(front.replies.get(0)));
         assertEquals(1, front.setUps("s0").size());
         assertEquals(1, front.setUps("s1").size());
     }
@@ -188,7 +188,7 @@
     void aRestartBehindTheSameAddressIsTreatedAsCold() {
         front.start("s0", "s1");
         warm(60);
-        front.news("s0", 0, State.RUNNING, OptionalDouble.of(front.now));
+        front.news("s0", 0, ServerState.RUNNING, OptionalDouble.of(front.now));
         double restarted = front.now;
         for (int i = 0; i < 200; i++) {
             front.ask("desk", i, String.format("598210%08d", 1_000 + i));
@@ -213,7 +213,7 @@
         assertEquals(20, front.replies.size());
         assertTrue(front.setUps("s0").isEmpty());
         assertTrue(front.replies.stream()
-                        .filter(r -> SimFront.kind(r).equals("stands s1"))
+                        .filter(r -> SimulatedFront.kind(r).equals("stands s1"))
                         .count()
                 >= 18);
     }
@@ -224,7 +224,7 @@
         front.start("s0", "s1");
         front.ask("desk", 1, TO_S0);
         front.run(50);
-        front.news("s0", 0, State.GONE, OptionalDouble.empty());
+        front.news("s0", 0, ServerState.GONE, OptionalDouble.empty());
         front.run(10);
         front.ask("desk", 2, "59821000000002");
         front.run(100);
@@ -259,7 +259,7 @@
             boolean late = reply.to().equals("late");
             // Those asked in the first moment of the stall give up three seconds later.
             double givesUp = late ? stallFrom + PATIENCE : Double.MAX_VALUE;
-            assertTrue(reply.at() <= givesUp + SLACK, SimFront.kind(reply) + " at " + reply.at());
+            assertTrue(reply.at() <= givesUp + SLACK, SimulatedFront.kind(reply) + " at " + reply.at());
         }
     }
 
@@ -293,7 +293,7 @@
         front.replies.forEach(r -> each.merge(r.to(), 1, Integer::sum));
         assertTrue(each.values().stream().allMatch(n -> n == 1));
         assertTrue(front.replies.stream().allMatch(r -> r.at() <= asked + PATIENCE));
-        assertTrue(front.replies.stream().anyMatch(r -> SimFront.kind(r).startsWith("stands")));
+        assertTrue(front.replies.stream().anyMatch(r -> SimulatedFront.kind(r).startsWith("stands")));
     }
 
     /** A full call table refuses the next call at once, with advice, and takes calls again when one is over. */
@@ -326,10 +326,10 @@
             front.run(25);
         }
         long cheap = front.setUps(null).stream()
-                .filter(s -> SimFront.number(s).startsWith("59821"))
+                .filter(s -> SimulatedFront.number(s).startsWith("59821"))
                 .count();
         long dear = front.setUps(null).stream()
-                .filter(s -> SimFront.number(s).startsWith("59828"))
+                .filter(s -> SimulatedFront.number(s).startsWith("59828"))
                 .count();
         assertTrue(dear > cheap, dear + " dear, " + cheap + " cheap");
     }
@@ -350,8 +350,9 @@
         front.run(3_500);
         assertEquals(100, front.replies.size());
         Map<String, List<Sent>> byNumber = new HashMap<>();
-        front.setUps(null).forEach(s -> byNumber.computeIfAbsent(SimFront.number(s), n -> new java.util.ArrayList<>())
-                .add(s));
+        front.setUps(null)
+                .forEach(s -> byNumber.computeIfAbsent(SimulatedFront.number(s), n -> new java.util.ArrayList<>())
+                        .add(s));
         for (List<Sent> tries : byNumber.values()) {
             for (int i = 1; i < tries.size(); i++) {
                 boolean turnedAway = tries.get(i - 1).server().equals("s0");
@@ -365,14 +366,16 @@
     @Test
     void theGuardRunsFromTheProofOfTheRelease() {
         double gap = leastGapAfterRelease(40, false);
-        assertTrue(gap >= 39 && gap < SimFront.RELEASE_WAIT, "guard and " + gap + " ms");
+        assertTrue(gap >= 39 && gap < SimulatedFront.RELEASE_WAIT, "guard and " + gap + " ms");
     }
 
     /** No proof comes: after the time it is waited for the guard runs without it. */
     @Test
     void theGuardRunsWithoutProofAfterTheWait() {
         double gap = leastGapAfterRelease(1, true);
-        assertTrue(gap >= SimFront.RELEASE_WAIT && gap < 2 * SimFront.RELEASE_WAIT, "guard and " + gap + " ms");
+        assertTrue(
+                gap >= SimulatedFront.RELEASE_WAIT && gap < 2 * SimulatedFront.RELEASE_WAIT,
+                "guard and " + gap + " ms");
         assertTrue(front.router().counters().unprovedReleases > 0);
     }
 
@@ -395,9 +398,9 @@
                 releasedAt.put(numbers.get(s.message().circuit()), s.at());
             } else if (s.message().type() == Isup.Type.IAM) {
                 if (s.server().equals("s0")) {
-                    numbers.put(s.message().circuit(), SimFront.number(s));
+                    numbers.put(s.message().circuit(), SimulatedFront.number(s));
                 }
-                Double released = releasedAt.remove(SimFront.number(s));
+                Double released = releasedAt.remove(SimulatedFront.number(s));
                 least = released == null ? least : Math.min(least, s.at() - released - 300);
             }
         }
@@ -414,7 +417,7 @@
         front.ask("desk", 2, "59821000000002");
         assertEquals("refused", only());
         front.run(200);
-        assertEquals("stands s0", SimFront.kind(front.replies.get(1)));
+        assertEquals("stands s0", SimulatedFront.kind(front.replies.get(1)));
         assertEquals(0, front.router().unanswered());
     }
 }
--- a/src/test/java/damsonseam/sim/SimFront.java
+++ b/src/test/java/damsonseam/sim/SimulatedFront.java
@@ -1,10 +1,10 @@
 package damsonseam.sim;
 
-import damsonseam.Decide;
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.State;
+import damsonseam.CongestionControlPolicy;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.config.Span;
@@ -55,7 +55,7 @@
  * with an authority and calculators that do as they are told. A millisecond is a turn of its loop; what comes
  * in one millisecond comes in one turn, before the beat, as on the real loop.
  */
-public final class SimFront implements Ports.Trunks, Ports.Directory {
+public final class SimulatedFront implements Ports.Trunks, Ports.Directory {
     /** The domain of the numbers. */
     public static final Name SUFFIX = E164Name.suffix("e164.example.org");
     /** How long a release complete is awaited, in milliseconds. */
@@ -111,11 +111,11 @@
     private double beatAt = now;
 
     /** Starts with these calculators running, with circuits to spare. */
-    public SimFront start(String... servers) {
+    public SimulatedFront start(String... servers) {
         FrontSettings s = settings();
         router = new Router(
                 new RouterSettings(s.forModule(3), mostCalls, FrontSettings.BEAT, RELEASE_WAIT, FrontSettings.SLACK),
-                a -> new Decide(s.forModule(3), a),
+                a -> new CongestionControlPolicy(s.forModule(3), a),
                 new CallTable(mostCalls, 1),
                 timers,
                 (call, number, deadline) -> {
@@ -153,7 +153,7 @@
         service = new EnumService(SUFFIX, s.plan(), router, new Transactions(200_000, 3_000), 50);
         List<Pool.Server> list = new ArrayList<>();
         for (String server : servers) {
-            list.add(server(server, list.size(), State.RUNNING, OptionalDouble.empty()));
+            list.add(server(server, list.size(), ServerState.RUNNING, OptionalDouble.empty()));
             groups.put(server, group(server));
         }
         router.directory(now, ++version, true, list);
@@ -180,7 +180,7 @@
                 null);
     }
 
-    private static Pool.Server server(String id, int number, State state, OptionalDouble started) {
+    private static Pool.Server server(String id, int number, ServerState state, OptionalDouble started) {
         return new Pool.Server(id, number, "127.0.0.1:1", 100 + number, state, started);
     }
 
@@ -194,7 +194,7 @@
                     }
 
                     @Override
-                    public void stands(double at, long call, int attempt, Report report) {
+                    public void stands(double at, long call, int attempt, ServerLoadReport report) {
                         router.stands(at, call, attempt, report);
                     }
 
@@ -203,10 +203,10 @@
                             double at,
                             long call,
                             int attempt,
-                            Result result,
-                            Reason reason,
+                            AttemptStatus result,
+                            RejectReason reason,
                             OptionalDouble toldWait,
-                            Report report) {
+                            ServerLoadReport report) {
                         router.ended(at, call, attempt, result, reason, toldWait, report);
                     }
 
@@ -263,7 +263,7 @@
     }
 
     /** News of the directory. */
-    public void news(String id, int number, State state, OptionalDouble started) {
+    public void news(String id, int number, ServerState state, OptionalDouble started) {
         router.directory(now, ++version, false, List.of(server(id, number, state, started)));
     }
 
@@ -374,11 +374,11 @@
     @Override
     public Ports.NotSent setUp(double at, String server, long call, int attempt, double until, CallRecord record) {
         if (unreachable.contains(server)) {
-            return new Ports.NotSent(Result.UNREACHABLE, Reason.NONE);
+            return new Ports.NotSent(AttemptStatus.UNREACHABLE, RejectReason.NONE);
         }
         return groups.get(server).setUp(call, attempt, record.number(), 10)
                 ? null
-                : new Ports.NotSent(Result.FULL, Reason.NO_LINE);
+                : new Ports.NotSent(AttemptStatus.FULL, RejectReason.NO_LINE);
     }
 
     @Override
@@ -390,7 +390,7 @@
     @Override
     public void probe(double at, String server) {
         boolean answers = !unreachable.contains(server);
-        later(1, () -> router.probed(now, server, true, answers, 1, Report.NONE));
+        later(1, () -> router.probed(now, server, true, answers, 1, ServerLoadReport.NONE));
     }
 
     @Override
--- a/src/test/java/damsonseam/ss7/CodecTest.java
+++ b/src/test/java/damsonseam/ss7/CodecTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonseam.Front.Report;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
@@ -125,7 +125,7 @@
             @ForAll @IntRange(max = 60_000) int queue,
             @ForAll @IntRange(max = 60_000) int free)
             throws SignallingException {
-        Report sent = new Report(
+        ServerLoadReport sent = new ServerLoadReport(
                 OptionalDouble.of(free),
                 OptionalDouble.empty(),
                 OptionalDouble.empty(),
--- a/src/test/java/damsonseam/ss7/TrunkGroupTest.java
+++ b/src/test/java/damsonseam/ss7/TrunkGroupTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import damsonseam.core.Circuits;
 import damsonseam.core.Timers;
 import java.util.ArrayList;
@@ -39,7 +39,7 @@
                     }
 
                     @Override
-                    public void stands(double now, long call, int attempt, Report report) {
+                    public void stands(double now, long call, int attempt, ServerLoadReport report) {
                         told.add("stands " + call + "/" + attempt);
                     }
 
@@ -48,10 +48,10 @@
                             double now,
                             long call,
                             int attempt,
-                            Result result,
-                            Reason reason,
+                            AttemptStatus result,
+                            RejectReason reason,
                             OptionalDouble toldWait,
-                            Report report) {
+                            ServerLoadReport report) {
                         told.add("ended " + call + "/" + attempt + " " + result + " " + reason);
                     }
 
