--- a/src/main/java/damsonseam/CongestionControlPolicy.java
+++ b/src/main/java/damsonseam/CongestionControlPolicy.java
@@ -17,63 +17,79 @@
 import java.util.TreeSet;
 
 /**
- * All decisions of one front: which server gets a call and when, or that it is held, refused or failed. The
- * interface is {@link RoutingPolicy}. The mechanism is the congestion control of docs/DESIGN.md:
- * each server has, for each rank of worth, an onset level T, an abatement level A below it and a discard
- * level D above it, on the wait that this front estimates from its own set-ups. Times are in milliseconds.
+ * Routing policy of one front with congestion control per server. It decides which server gets a call and
+ * when, or that the call is held, refused or failed.
+ *
+ * <p>For each server the policy estimates, from the delays of this front's own set-ups, the wait that the next
+ * set-up would meet. Each rank of worth has an onset level T, an abatement level A below it and a discard level D
+ * above it on that wait; docs/DESIGN.md describes the mechanism.
+ *
+ * <p>An instance is confined to the thread of its front, starts no threads and reads no clock. It keeps state for
+ * each pending call, for each listed server, and for at most {@value #MAX_REMEMBERED_NUMBERS} numbers per table;
+ * above {@value #MAX_REMEMBERED_SERVERS} servers it forgets those that are gone. All times and durations are in
+ * milliseconds.
  */
 public final class CongestionControlPolicy implements RoutingPolicy {
 
     // ---- Parameters -------------------------------------------------------------------------------------
 
-    /** phi(eps): deviations above the ordinary mean wait at the first onset; a normal tail of 1 in 700. */
+    /**
+     * The first onset in standard deviations above the mean wait of normal operation: phi(eps) of the paper. A
+     * normal distribution exceeds it once in 700 samples.
+     */
     private static final double ONSET_DEVIATIONS = 3.0;
-    /** Share of a class's aim that a wait may take; the rest pays the way there, late news and growth. */
+    /**
+     * Share of the shortest aim of all classes that a wait may take. The rest covers the network delay, late
+     * reports and a wait that is still growing.
+     */
     private static final double WAIT_BUDGET_SHARE_OF_AIM = 0.5;
-    /** The first onset lies at least and at most at these shares of the room: levels must stay apart. */
+    /** Bounds of the first onset as shares of the wait budget; they keep the levels apart. */
     private static final double MIN_FIRST_ONSET_SHARE = 0.2;
 
     private static final double MAX_FIRST_ONSET_SHARE = 0.5;
-    /** Weight of the newest delay in the estimate, and in the slow figures of what is ordinary. */
+    /** Weight of the newest sample in the wait estimate. */
     private static final double FAST_SMOOTHING_WEIGHT = 0.5;
 
+    /** Least weight of the newest sample in the mean and variance of the wait in normal operation. */
     private static final double MIN_SLOW_SMOOTHING_WEIGHT = 0.05;
-    /** Slowest fallback, as a share of the ordinary one. */
-    private static final double MIN_FALLBACK_RATE = 0.4;
-    /** Further set-ups sent into a silence before it counts as a stop for all. */
+    /** Least rate at which the wait estimate decays without new samples, in milliseconds per millisecond. */
+    private static final double MIN_ESTIMATE_DECAY_RATE = 0.4;
+    /** Further set-ups sent to a server that does not answer before its silence stops calls of all ranks. */
     private static final int MAX_SILENCE_TEST_SET_UPS = 2;
-    /** Lines that a rank leaves to the next above it, in deviations of the lines in use. */
+    /** Lines that a rank leaves free for the next higher rank, in standard deviations of the lines in use. */
     private static final double RESERVED_LINES_DEVIATIONS = 0.25;
-    /** Share of the cold budget used: the rest covers uneven fronts and chance. */
+    /** Share of a cold server's set-up budget that the fronts use. The rest covers uneven fronts and chance. */
     private static final double COLD_BUDGET_SHARE = 0.25;
-    /** Answers after which a server's own figures count as known. */
+    /** Samples after which the figures of a server count as known. */
     private static final int MIN_SAMPLES_OF_KNOWN_SERVER = 10;
-    /** Held and moved calls reach one server at so many times its ordinary rate from this front. */
+    /** Rate at which rerouted calls go to one server, as a multiple of this front's fair rate there. */
     private static final double PACED_RATE_MULTIPLE = 2.0;
-    /** Time between looks at held and unanswered calls: well under any wait that matters. */
+    /** Time between checks of held and unanswered calls, well below any wait that matters. */
     private static final double SWEEP_INTERVAL_MS = 20.0;
-    /** Bad endings in a row, with no answer between, after which a server is taken to be down. */
+    /** Consecutive failures without an answer between them after which a server is considered down. */
     private static final int DOWN_AFTER_FAILURES = 2;
-    /** Span of the average rate of set-ups that stand: longer than most troubles, which must not set it. */
+    /** Time constant of the rate of established calls. It exceeds most faults, which must not shape the rate. */
     private static final double RATE_WINDOW_MS = 60_000.0;
-    /** Longest time taken for a caller's patience or an aim where the settings give none. */
+    /** Aim or deadline of a class whose settings give none. */
     private static final double DEFAULT_AIM_MS = 1_000.0;
-    /** Busy numbers remembered: the memory's bound, far above the numbers that are hot at one time. */
+    /** Bound of each table of numbers, far above the count of numbers that are busy at one time. */
     private static final int MAX_REMEMBERED_NUMBERS = 1_000;
-    /** Servers remembered before those that are gone are forgotten: one may return and is known then. */
+    /** Number of servers above which those that are gone are forgotten; a known server may return. */
     private static final int MAX_REMEMBERED_SERVERS = 100;
-    /** Time before a failed request for the list is repeated: no flood, yet under the lateness of news. */
+    /** Delay before a failed server-list request is repeated: no flood, yet below the usual lag of updates. */
     private static final double SERVER_LIST_RETRY_MS = 1_000.0;
-    /** Longest turn at a squeezed server in fair turns; what a quick answer leaves of it; when it ends. */
+    /** Greatest throttle of a server: the factor by which this front's send interval exceeds the fair one. */
     private static final double MAX_THROTTLE = 8.0;
 
+    /** Factor that a short wait applies to the throttle. */
     private static final double THROTTLE_DECAY = 0.6;
+    /** Throttle below which a server is no longer throttled. */
     private static final double THROTTLE_OFF_BELOW = 0.5;
-    /** Span in which a change of turns takes effect: calls sent before it must first be answered. */
+    /** Time that a change of the throttle needs to take effect: calls sent before it must be answered first. */
     private static final double THROTTLE_EFFECT_MS = 2_000.0;
-    /** Span over which a squeezed server's turns fall back to fair ones where no answers tell. */
+    /** Time constant with which a throttle falls back to 1 while no answers arrive. */
     private static final double THROTTLE_RECOVERY_MS = 15_000.0;
-    /** Reported busy share above which a server has nothing left to give: the noise of reports below all. */
+    /** Reported utilization from which a server counts as saturated; the margin below 1 covers report noise. */
     private static final double SATURATED_UTILIZATION = 0.9;
 
     private static final long SWEEP_TIMER_TOKEN = 1;
@@ -91,41 +107,44 @@
     private final int fronts;
     private final boolean mayCancel;
     private final boolean mayProbe;
-    /** The distinct worths a call can still earn, ascending: a call's rank is its place here. */
+    /** Distinct worths that a call can still earn, in ascending order. A call's rank is an index of this array. */
     private final double[] worths;
 
     // ---- State ------------------------------------------------------------------------------------------
 
     private final Map<String, Server> servers = new TreeMap<>();
     private final Map<Long, PendingCall> pendingCalls = new LinkedHashMap<>();
-    /** The order in which held calls are tried: highest worth first, within a rank the newest first. */
+    /** Order in which held calls are tried: highest rank first, within a rank the newest first. */
     private static final Comparator<PendingCall> DISPATCH_ORDER = Comparator.comparingInt((PendingCall c) -> -c.rank)
             .thenComparingDouble(c -> -c.arrivedAt)
             .thenComparingLong(c -> c.id);
-    /** Held calls that fare alike, so that a moment tries one of each and walks none it does not try. */
+    /** Groups of held calls with the same prospects: a batch tries one call of each and skips the others. */
     private final Map<Object, CallGroup> groups = new LinkedHashMap<>();
-    /** Calls to be held, not yet ranked: those that came since the last moment. */
+    /** Calls that were offered or came back since the last batch and have no rank yet. */
     private final Set<PendingCall> unrankedCalls = new LinkedHashSet<>();
-    /** Held calls by when their rank falls, those that have their full worth and those that are late. */
+    /** Held calls that still have their full worth, ordered by the time at which it falls. */
     private final TreeSet<PendingCall> callsBeforeAim = new TreeSet<>(
             Comparator.comparingDouble((PendingCall c) -> c.aimDeadline).thenComparingLong(c -> c.id));
 
+    /** Held calls that have only their late worth, in the same order. */
     private final TreeSet<PendingCall> callsPastAim = new TreeSet<>(callsBeforeAim.comparator());
+
     private final TreeSet<PendingCall> heldByDeadline = new TreeSet<>(
             Comparator.comparingDouble((PendingCall c) -> c.deadline).thenComparingLong(c -> c.id));
     private final TreeSet<PendingCall> deferredByReleaseTime = new TreeSet<>(
             Comparator.comparingDouble((PendingCall c) -> c.notBefore).thenComparingLong(c -> c.id));
-    /** The servers that calls of one class and choice may use; forgotten with each news of the list. */
+    /** Cache of usable servers by class and allowed servers; each server-list update clears it. */
     private final Map<Object, List<Server>> usableServers = new HashMap<>();
-    /** Whether the last choice passed over a server that would take the call, but not in its time. */
+    /** Whether the last choice skipped a server that accepts calls but would answer after the deadline. */
     private boolean skippedForDeadline;
-    /** Numbers whose lines are all busy, and numbers of callers left without service, who dial again. */
+    /** Dialled numbers whose lines are all busy, with the time until which this is assumed. */
     private final ExpiringNumbers busyNumbers = new ExpiringNumbers();
 
+    /** Numbers of calls that got no service; a new call for one is treated as a redial. */
     private final ExpiringNumbers unservedNumbers = new ExpiringNumbers();
-    /** Set-ups found lost, and those sent to a process that has restarted since. */
+    /** Calls whose set-up was lost in the network or sent to a server that has restarted since. */
     private final Set<Long> lostSetUps = new TreeSet<>();
-    /** The longest time that a call of each class was seen to have left. */
+    /** Longest remaining time with which a call of each class was offered. */
     private final double[] maxTimeLeft;
 
     private double nextSweepAt = Double.POSITIVE_INFINITY;
@@ -138,13 +157,14 @@
     private double completedCallTime;
     private int completedCalls;
     private double bestDelay = Double.POSITIVE_INFINITY;
-    /** Worked out once each moment: the least time to an answer, and what the sizes of all come to. */
+    /** Least time from now to an answer at any running server, computed once per batch. */
     private double minTimeToAnswer;
-
-    private double totalSize;
+    /** Sum of the ordinary loads of all running servers, computed once per batch. */
+    private double totalOrdinaryLoad;
+    /** Share of all lines that is in use, computed once per batch. */
     private double lineOccupancy;
 
-    /** Numbers and until when something is taken to hold for them, in a bounded table, the oldest first. */
+    /** Bounded table of numbers with expiry times; the oldest entry is evicted first. */
     private static final class ExpiringNumbers extends LinkedHashMap<String, Double> {
         private static final long serialVersionUID = 1L;
 
@@ -158,40 +178,43 @@
         }
     }
 
-    /** What makes held calls fare alike, but for those that may not be sent yet. */
+    /** Properties on which the prospects of a held call depend, once it may be sent. */
     private record CallKind(int callClass, int rank, boolean rerouted, List<Integer> allowedServers) {}
 
-    /** Held calls of one kind that avoid one server, or are bound for one: ripe ones and waiting. */
+    /**
+     * Held calls of one kind that avoid the same server or, in transit, go to the same one. Deferred calls wait
+     * for the release guard time. A group is unrestricted if its calls avoid no server and are not in transit.
+     */
     private static final class CallGroup {
         final CallKind kind;
         final boolean unrestricted;
         final TreeSet<PendingCall> ready = new TreeSet<>(DISPATCH_ORDER);
         final TreeSet<PendingCall> deferred = new TreeSet<>(DISPATCH_ORDER);
 
-        CallGroup(CallKind kind, boolean plain) {
+        CallGroup(CallKind kind, boolean unrestricted) {
             this.kind = kind;
-            this.unrestricted = plain;
+            this.unrestricted = unrestricted;
         }
     }
 
-    /** A place in one ordered set of held calls, of a group or of those whose time is all but over. */
-    private static final class GroupCursor {
+    /** Position in one ordered set of held calls; {@code group} is null for the calls near their deadline. */
+    private static final class CallCursor {
         final CallGroup group;
         final TreeSet<PendingCall> calls;
         PendingCall current;
 
-        GroupCursor(CallGroup group, TreeSet<PendingCall> of) {
+        CallCursor(CallGroup group, TreeSet<PendingCall> calls) {
             this.group = group;
-            this.calls = of;
-            current = of.isEmpty() ? null : of.first();
+            this.calls = calls;
+            current = calls.isEmpty() ? null : calls.first();
         }
     }
 
-    /** One call that this front owes an answer. */
+    /** One call for which this front still has to give a final answer. */
     private static final class PendingCall {
         final long id;
         final int callClass;
-        final int firstChoice;
+        final int firstChoiceIndex;
         final String number;
         final double arrivedAt;
         final double deadline;
@@ -208,20 +231,20 @@
         Server avoidedServer;
         CallGroup group;
 
-        PendingCall(Call call, double now, double deadline, double aimBy) {
+        PendingCall(Call call, double now, double deadline, double aimDeadline) {
             id = call.id();
             callClass = call.callClass();
             number = call.number();
-            firstChoice = call.firstChoiceIndex();
+            firstChoiceIndex = call.firstChoiceIndex();
             inTransit = call.inTransit();
             allowedServers = call.allowedServers().stream().sorted().toList();
             arrivedAt = now;
             this.deadline = deadline;
-            this.aimDeadline = aimBy;
+            this.aimDeadline = aimDeadline;
         }
     }
 
-    /** What this front knows of one server. */
+    /** State that this front keeps of one server. */
     private static final class Server {
         final String id;
         int index;
@@ -251,9 +274,10 @@
         double peakLinesInUse;
         double selectionKey;
         double linesReportInterval;
-        double linesDraw;
+        double lineThreshold;
         boolean connectionFailed;
         final boolean[] stoppedRanks;
+        /** Unanswered set-ups by call, oldest first, with the send time less the pauses until then. */
         final Map<Long, Double> unanswered = new LinkedHashMap<>();
 
         Server(String id, int ranks) {
@@ -262,7 +286,7 @@
         }
     }
 
-    /** An absent setting is read the careful way. */
+    /** Creates the policy of one front; an absent setting gets the most cautious value. */
     public CongestionControlPolicy(PolicySettings settings, PolicyActions actions) {
         this.settings = settings;
         this.actions = actions;
@@ -285,7 +309,7 @@
         }
         worths = distinct.stream().mapToDouble(Double::doubleValue).toArray();
         double aimBudget = WAIT_BUDGET_SHARE_OF_AIM * (minAim == Double.POSITIVE_INFINITY ? DEFAULT_AIM_MS : minAim);
-        // A set-up repeated because it waited is work for nothing: the room ends before the repeat.
+        // A set-up that is retransmitted because it waits is wasted work: the budget ends before that.
         double retransmitAfter = settings.retransmitAfter().orElse(0);
         waitBudget = retransmitAfter > 0 ? Math.min(aimBudget, retransmitAfter) : aimBudget;
         maxTimeLeft = new double[settings.classes().size()];
@@ -317,7 +341,7 @@
             server.state = entry.state();
             double startedAt = entry.startedAt().orElse(Double.NEGATIVE_INFINITY);
             if (startedAt > server.startedAt) {
-                startCold(server, startedAt, now);
+                beginWarmUp(server, startedAt, now);
             }
         }
         if (servers.size() > MAX_REMEMBERED_SERVERS) {
@@ -334,12 +358,12 @@
     public void onCallOffered(double now, Call offer) {
         detectPause(now);
         CallClass callClass = settings.classes().get(offer.callClass());
-        // Guards against many calls for one number: while its lines are busy, a set-up for it is wasted.
+        // Guards against many calls to one number: while all its lines are busy, a set-up for it is wasted.
         if (busyNumbers.isActive(offer.number(), now)) {
             actions.refuseCall(offer.id(), retryAfterAdvice());
             return;
         }
-        // A front that stood still is handed its calls late: their time left is short of the usual by that.
+        // A paused front is offered its calls late: their remaining time is shorter than usual by the delay.
         maxTimeLeft[offer.callClass()] = Math.max(maxTimeLeft[offer.callClass()], offer.timeLeft());
         double lateness = Math.min(lastPause, maxTimeLeft[offer.callClass()] - offer.timeLeft());
         PendingCall call = new PendingCall(
@@ -378,7 +402,7 @@
             return;
         }
         if (call == null) {
-            // It stood, and a cancel that was on its way to it then took effect: its answer is owed again.
+            // A cancel took effect after the call was established: its final answer is pending again.
             actions.failCall(outcome.callId());
             return;
         }
@@ -393,7 +417,7 @@
         if (outcome.status() == AttemptStatus.TIMED_OUT
                 || outcome.status() == AttemptStatus.RESET
                 || outcome.status() == AttemptStatus.CANCELLED) {
-            // Release awaited: what the attempt held may stay taken until the guard time has passed.
+            // What the attempt held may stay occupied until its release, so wait for the guard time.
             call.notBefore = now + releaseGuard;
         }
         boolean giveUp = outcome.reason() == RejectReason.NUMBER_BUSY
@@ -436,7 +460,7 @@
     }
 
     @Override
-    public void onMessage(double now, int from, byte[] body) {} // Nothing is believed from other fronts.
+    public void onMessage(double now, int from, byte[] body) {} // Messages of other fronts are not trusted.
 
     @Override
     public void onTimer(double now, long token) {
@@ -473,7 +497,7 @@
         }
     }
 
-    /** A beat that comes late tells that this front stood still, and for how long at the most. */
+    /** Detects by a late sweep timer that this front was paused, and bounds the length of the pause. */
     private void detectPause(double now) {
         if (now > lastEventAt) {
             lastPause = Math.max(0, now - Math.max(lastEventAt, nextSweepAt) - deadlineMargin);
@@ -484,21 +508,25 @@
 
     // ---- Wait estimate ----------------------------------------------------------------------------------
 
-    /** The wait that a set-up sent now would meet: the last figure falling back, or what silence proves. */
+    /** Returns the wait that a set-up sent now would meet: the decayed estimate, or more if silence proves it. */
     private double expectedWait(Server server, double now) {
         return Math.max(decayedEstimate(server, now), waitProvedBySilence(server, now));
     }
 
-    /** Fallback: 1 ms a ms, as at a processor left alone; above the room slower, as any set-up is much. */
+    /**
+     * Returns the wait estimate, decayed since the last sample. It falls by 1 ms per ms, as the queue of a processor
+     * without new work does; above the wait budget it falls more slowly, as any set-up there is already too much.
+     */
     private double decayedEstimate(Server server, double now) {
-        double rate =
-                server.waitEstimate > waitBudget ? Math.max(MIN_FALLBACK_RATE, waitBudget / server.waitEstimate) : 1;
+        double rate = server.waitEstimate > waitBudget
+                ? Math.max(MIN_ESTIMATE_DECAY_RATE, waitBudget / server.waitEstimate)
+                : 1;
         return Math.max(
                 Math.min(server.meanWait, server.waitEstimate),
                 server.waitEstimate - rate * (now - server.waitEstimateAt));
     }
 
-    /** Age of the oldest unanswered set-up above the way there: a lower bound of the wait. */
+    /** Returns a lower bound of the wait: the age of the oldest unanswered set-up less the unloaded delay. */
     private double waitProvedBySilence(Server server, double now) {
         double oldest = server.unanswered.isEmpty()
                 ? now
@@ -506,11 +534,12 @@
         return Math.max(0, now - totalPaused - oldest - unloadedDelay(server));
     }
 
-    private void recordAnswer(Server server, long callId, double delay, double now, boolean sample) {
+    /** Records an answer of the server; {@code delay} is a sample of the wait only if the call is established. */
+    private void recordAnswer(Server server, long callId, double delay, double now, boolean established) {
         discardOvertaken(server, server.unanswered.remove(callId));
         server.lastAnswerAt = now;
         markAlive(server, now);
-        if (!sample) {
+        if (!established) {
             return;
         }
         double decay = Math.exp((lastEstablishedAt - now) / RATE_WINDOW_MS);
@@ -522,7 +551,7 @@
         bestDelay = Math.min(bestDelay, delay);
         double excess = delay - unloadedDelay(server);
         if (lastPause > 0 && excess >= onset(server, 0) && (excess -= lastPause) < onset(server, 0)) {
-            return; // Some of this wait was our own pause, and what is left for sure tells nothing.
+            return; // Part of this delay was a pause of this front; the rest is no evidence of congestion.
         }
         setEstimate(
                 server,
@@ -533,12 +562,12 @@
         server.sampleCount++;
         adjustThrottle(server, excess, THROTTLE_DECAY, now);
         server.reopening &= expectedWait(server, now) >= onset(server, 0);
-        // It bears what it gets: the next may go as far as one set-up of each front fits in the room.
+        // The server copes with its load: allow the next set-up as far as one of each front fits the budget.
         server.tokens += expectedWait(server, now) < onset(server, 0)
                 ? Math.min(1, warmUpShare(server, now) * waitBudget / fairInterval(server))
                 : 0;
         if (warmUpShare(server, now) >= 1) {
-            // What is ordinary is learnt from waits up to the first onset: pressure must not become ordinary.
+            // Longer waits count as the first onset, so that congestion is not learnt as normal operation.
             double wait = Math.min(excess, onset(server, 0));
             double weight = Math.max(MIN_SLOW_SMOOTHING_WEIGHT, 1.0 / server.sampleCount);
             server.waitVariance += weight * ((wait - server.meanWait) * (wait - server.meanWait) - server.waitVariance);
@@ -546,7 +575,7 @@
         }
     }
 
-    /** Whether a server bears what it gets: its turns grow longer past onset, and shorter below abatement. */
+    /** Adjusts the throttle to a wait: increases it from the first onset, lowers it up to the first abatement. */
     private void adjustThrottle(Server server, double wait, double decay, double now) {
         if (wait >= onset(server, 0)) {
             increaseThrottle(server, wait, now);
@@ -556,7 +585,7 @@
         }
     }
 
-    /** A wait past onset makes the turns of this server longer, the more so the longer the wait. */
+    /** Increases the throttle of a server, the more so the longer the wait. */
     private void increaseThrottle(Server server, double wait, double now) {
         if (server.throttle == 0 && warmUpShare(server, now) >= 1) {
             server.tokens = random.nextDouble();
@@ -567,14 +596,15 @@
                 Math.max(1, server.throttle) * Math.pow(1 + Math.min(1, wait / waitBudget), throttleGain(server)));
     }
 
-    /** Many answers in a short time are one piece of news: turns change as fast as they can take effect. */
+    /** Returns the exponent that limits a change of the throttle to the speed at which it can take effect. */
     private double throttleGain(Server server) {
         return Math.min(1, fairInterval(server) / THROTTLE_EFFECT_MS);
     }
 
     /**
-     * Guards against set-ups that get lost on the way: a processor has one line, so one still unanswered when
-     * a later one has been answered is not waiting there. It tells nothing of the wait and is tried again.
+     * Guards against set-ups lost in the network. A processor serves one queue in order, so a set-up that is still
+     * unanswered when a later one has been answered does not wait there: it is no sample of the wait, and its call
+     * is tried again.
      */
     private void discardOvertaken(Server server, Double sentAt) {
         if (sentAt == null) {
@@ -593,7 +623,10 @@
         }
     }
 
-    /** The time a set-up takes without a wait; a server never seen unpressed is held to the best one's. */
+    /**
+     * Returns the delay of a set-up that meets no wait. For a server seen only under load, it is bounded by the best
+     * delay of all servers.
+     */
     private double unloadedDelay(Server server) {
         double delay = Math.min(server.minDelay, bestDelay + MAX_FIRST_ONSET_SHARE * waitBudget);
         return delay == Double.POSITIVE_INFINITY ? 0 : delay;
@@ -604,7 +637,10 @@
         server.waitEstimateAt = now;
     }
 
-    /** A reported wait comes late, and may miss a line that is filling: it only ever raises the estimate. */
+    /**
+     * Applies a server's report of its load. A reported wait is late and may miss a queue that is filling, so it only
+     * ever raises the estimate.
+     */
     private void applyReport(Server server, ServerLoadReport report, double now) {
         if (report.freeLines().isPresent()) {
             server.freeLines = report.freeLines().getAsDouble();
@@ -613,10 +649,10 @@
                     server.peakLinesInUse * Math.exp(Math.min(0, server.linesReportedAt - now) / RATE_WINDOW_MS);
             server.peakLinesInUse = Math.max(server.lines - server.freeLines, decayedPeak);
             server.linesReportInterval = Math.min(badNewsLifetime(), now - server.linesReportedAt);
-            server.linesDraw = random.nextDouble() * fronts;
+            server.lineThreshold = random.nextDouble() * fronts;
             server.linesReportedAt = now;
         }
-        // Set-ups waiting there are so many turns of all fronts, longer ones where the server is slow.
+        // Each queued set-up takes one fair interval of all fronts together, longer if the server is throttled.
         double perSetUp = Math.min(1, report.utilization().orElse(1))
                 * fairInterval(server)
                 * Math.max(1, server.throttle)
@@ -640,9 +676,10 @@
     }
 
     /**
-     * Guards the worth of calls where lines run short before the processor does: the wait does not show it.
-     * Each rank leaves some lines to the next. Where fewer are to be had until the next news than there are
-     * fronts, each goes by a chance of its own. Old news that none is free is believed no more.
+     * Returns whether the server may have a free line for a call of this rank. This guards the worth of calls where
+     * lines run short before the processor does, which the wait does not show. Each rank leaves some lines to the
+     * next higher one. If fewer lines become available before the next report than there are fronts, each front
+     * draws by lot whether it sends. An old report that no line is free is ignored.
      */
     private boolean hasFreeLine(Server server, int rank, double now) {
         if (server.freeLines <= 0
@@ -654,10 +691,10 @@
         double expectedReleases = completedCalls > 0
                 ? server.peakLinesInUse * server.linesReportInterval / (completedCallTime / completedCalls)
                 : 0;
-        return server.freeLines > reserved && server.freeLines - reserved + expectedReleases > server.linesDraw;
+        return server.freeLines > reserved && server.freeLines - reserved + expectedReleases > server.lineThreshold;
     }
 
-    /** What an ending tells of the server. */
+    /** Records what the outcome of an attempt shows about its server. */
     private void recordOutcome(Server server, AttemptOutcome outcome, boolean wasAwaited, double now) {
         if (outcome.status() != AttemptStatus.COMPLETED && outcome.status() != AttemptStatus.ERROR) {
             server.unanswered.remove(outcome.callId());
@@ -679,9 +716,9 @@
                     server.linesReportedAt = now;
                 }
                 if (outcome.reason() == RejectReason.PROCESSOR_FULL || outcome.reason() == RejectReason.BEYOND_FULL) {
-                    // A notice: every rank but the top stops until abatement; a told wait stops all.
-                    // Guards against a server that turns all away at once: notices in a row, with nothing
-                    // standing between them, close it the longer, so that its quick answers draw no calls.
+                    // Stops all ranks but the top one until abatement; a Retry-After stops all ranks. This
+                    // guards against a server that rejects everything at once: consecutive rejections, with no
+                    // call established between them, close it for longer, so that its quick answers attract no calls.
                     server.consecutiveRejections++;
                     double closedFor =
                             waitBudget * (1 + Math.min(server.consecutiveRejections, 2 * DOWN_AFTER_FAILURES));
@@ -693,7 +730,7 @@
             }
             case TIMED_OUT, CANCELLED -> {
                 if (wasAwaited && !lostSetUps.contains(outcome.callId())) {
-                    // What the silence had proved stays true when its set-up is given up.
+                    // The wait that the silence proved remains after the set-up is given up.
                     setEstimate(
                             server, Math.max(expectedWait(server, now), outcome.delay() - unloadedDelay(server)), now);
                     increaseThrottle(server, waitBudget, now);
@@ -703,7 +740,7 @@
                 }
             }
             case RESET, UNREACHABLE -> {
-                // A set-up that breaks after later ones were answered broke on its way: the process is alive.
+                // A reset of a set-up after later answers happened in the network: the server process is alive.
                 if (outcome.status() == AttemptStatus.UNREACHABLE || server.lastAnswerAt < now - outcome.delay()) {
                     server.connectionFailed = true;
                     recordFailure(server, now);
@@ -713,7 +750,7 @@
         }
     }
 
-    /** Guards against a server that died, whatever killed it, before the list tells. */
+    /** Records a failure. This guards against a server that died before a server-list update says so. */
     private void recordFailure(Server server, double now) {
         if (++server.consecutiveFailures >= DOWN_AFTER_FAILURES && !server.down) {
             server.down = true;
@@ -722,11 +759,14 @@
         }
     }
 
-    /** A server thought dead that answers has restarted for all we know: cold from now on; if silent, not. */
+    /**
+     * Marks a server as alive. One that was down after connection failures has probably restarted and is cold; one
+     * that was merely silent is only throttled.
+     */
     private void markAlive(Server server, double now) {
         server.consecutiveFailures = 0;
         if (server.down && server.connectionFailed) {
-            startCold(server, now, now);
+            beginWarmUp(server, now, now);
         } else if (server.down) {
             server.down = false;
             increaseThrottle(server, waitBudget, now);
@@ -736,36 +776,36 @@
 
     // ---- Levels -----------------------------------------------------------------------------------------
 
+    /** Returns the onset level of a rank; that of rank + 1 is the discard level of the rank. */
     private double onset(Server server, int rank) {
         double first = server.meanWait + ONSET_DEVIATIONS * Math.sqrt(server.waitVariance);
         first = Math.max(MIN_FIRST_ONSET_SHARE * waitBudget, Math.min(MAX_FIRST_ONSET_SHARE * waitBudget, first));
         return first + (waitBudget - first) * rank / worths.length;
     }
 
-    /** Abatement lies half way from the ordinary wait up to onset. */
+    /** Returns the abatement level of a rank, half way between the wait of normal operation and the onset. */
     private double abatement(Server server, int rank) {
         double ordinary = Math.min(server.meanWait, onset(server, 0));
         return (ordinary + onset(server, rank)) / 2;
     }
 
-    /** Whether a server takes calls of this rank, by its levels alone. */
+    /** Returns whether a server is open to calls of this rank by its levels and its free lines. */
     private boolean isOpen(Server server, int rank, double now) {
         double wait = expectedWait(server, now);
-        for (int otherRank = 0; otherRank < server.stoppedRanks.length; otherRank++) {
-            server.stoppedRanks[otherRank] = wait >= onset(server, otherRank)
-                    || server.stoppedRanks[otherRank] && wait > abatement(server, otherRank);
+        for (int i = 0; i < server.stoppedRanks.length; i++) {
+            server.stoppedRanks[i] = wait >= onset(server, i) || server.stoppedRanks[i] && wait > abatement(server, i);
         }
         if (now < server.retryAfterUntil || !hasFreeLine(server, rank, now)) {
             return false;
         }
-        // Guards against set-ups sent into an unproved server: one goes, and its answer lets the next.
+        // Guards against sending many set-ups to an unproven server: each one waits for the answer to the last.
         server.reopening |= server.stoppedRanks[0];
         boolean cautious =
                 server.reopening || warmUpShare(server, now) < 1 || server.sampleCount < MIN_SAMPLES_OF_KNOWN_SERVER;
         if (!server.stoppedRanks[rank] && !(cautious && !server.unanswered.isEmpty())) {
             return true;
         }
-        // Only silence stops it: one or two more test whether the silent set-up was merely lost.
+        // If only silence stops the server, one or two more set-ups test whether the silent one was merely lost.
         return server.throttle <= 1
                 && !server.unanswered.isEmpty()
                 && server.unanswered.size() <= MAX_SILENCE_TEST_SET_UPS
@@ -773,7 +813,7 @@
                 && now - server.lastSentAt > unloadedDelay(server) + onset(server, 0);
     }
 
-    /** A call's rank: the place of the worth that it can still earn; after its aim that is its late worth. */
+    /** Returns a call's rank: the index of the worth that it can still earn, which is its late worth past the aim. */
     private int rank(PendingCall call, boolean isLate) {
         CallClass callClass = settings.classes().get(call.callClass);
         double worth =
@@ -781,7 +821,7 @@
         return Math.max(0, Arrays.binarySearch(worths, worth));
     }
 
-    /** Ranks what came since the last moment, and again those that have crossed their aim, either way. */
+    /** Ranks the calls new in this batch, and again those that have crossed their aim in either direction. */
     private void updateRanks(double now) {
         for (PendingCall call : unrankedCalls) {
             heldByDeadline.add(call);
@@ -816,8 +856,8 @@
         CallKind kind = new CallKind(call.callClass, call.rank, call.rerouted, call.allowedServers);
         String avoidedId = call.avoidedServer == null ? "" : call.avoidedServer.id;
         call.group = groups.computeIfAbsent(
-                List.of(kind, avoidedId, call.inTransit ? call.firstChoice : -1),
-                k -> new CallGroup(kind, call.avoidedServer == null && !call.inTransit));
+                List.of(kind, avoidedId, call.inTransit ? call.firstChoiceIndex : -1),
+                key -> new CallGroup(kind, call.avoidedServer == null && !call.inTransit));
         if (now >= call.notBefore) {
             call.group.ready.add(call);
         } else {
@@ -833,7 +873,7 @@
         call.group = null;
     }
 
-    /** The call is held no more. */
+    /** Removes a call from all structures of held calls. */
     private void stopHolding(PendingCall call) {
         unrankedCalls.remove(call);
         if (call.group != null) {
@@ -850,7 +890,7 @@
         return call.inTransit
                 ? findUsableServers(call)
                 : usableServers.computeIfAbsent(
-                        List.of(call.callClass, call.allowedServers), k -> findUsableServers(call));
+                        List.of(call.callClass, call.allowedServers), key -> findUsableServers(call));
     }
 
     private List<Server> findUsableServers(PendingCall call) {
@@ -860,7 +900,7 @@
         List<Server> usable = new ArrayList<>();
         for (Server server : servers.values()) {
             boolean eligible = call.inTransit
-                    ? server.index == call.firstChoice
+                    ? server.index == call.firstChoiceIndex
                     : (ownIndex < 0 || server.index != ownIndex)
                             && (allowed.isEmpty() || allowed.contains(server.index))
                             && (call.allowedServers.isEmpty() || call.allowedServers.contains(server.index));
@@ -871,7 +911,10 @@
         return usable;
     }
 
-    /** First choice while open; else of two drawn from the open ones, the one with fewer own unanswered. */
+    /**
+     * Returns the first choice if it is open. Otherwise returns, of two servers drawn from the open ones, the one
+     * with fewer unanswered set-ups of this front; null if no server takes the call now.
+     */
     private Server chooseServer(PendingCall call, List<Server> usable, double now) {
         List<Server> open = new ArrayList<>();
         Server firstChoice = null;
@@ -882,7 +925,7 @@
             boolean accepts = !server.down && isOpen(server, call.rank, now);
             skippedForDeadline |= accepts && !inTime;
             if (accepts && inTime && paceAllows && hasSendToken(server, call.rank, now)) {
-                if (server.index == call.firstChoice && server != call.avoidedServer) {
+                if (server.index == call.firstChoiceIndex && server != call.avoidedServer) {
                     firstChoice = server;
                 }
                 open.add(server);
@@ -897,7 +940,7 @@
         if (open.size() > 1) {
             open.remove(call.avoidedServer);
         }
-        // Drawn by ordinary shares: what a large server can't take would push over a small one.
+        // Draws are weighted by ordinary load: what a large server can't take would overload a small one.
         open.forEach(server -> server.selectionKey = -Math.log(1 - random.nextDouble()) / ordinaryLoad(server));
         open.sort(Comparator.comparingDouble(server -> server.selectionKey));
         Server candidate = open.get(0);
@@ -906,8 +949,9 @@
     }
 
     /**
-     * While none is open, one set-up now and then tests a server that is down or turns all away. One that is
-     * only pressed needs no test of its own: its estimate falls back until it is open for one set-up.
+     * Returns a server to test with this set-up while none is open: one that is down or rejects everything, once
+     * per test interval. A server that is only congested needs no test: its estimate decays until it is open for
+     * one set-up.
      */
     private Server chooseServerToTest(PendingCall call, List<Server> usable, double now) {
         for (Server server : usable) {
@@ -930,18 +974,19 @@
         return Math.max(badNewsLifetime(), fairInterval(server));
     }
 
-    /** The time for which a single piece of bad news is believed. */
+    /** Returns the time for which a single negative observation is trusted. */
     private double badNewsLifetime() {
         return Math.max(releaseGuard, 2 * waitBudget);
     }
 
     /**
-     * The fair turn: the time between set-ups of this front at one server if all fronts alike kept it at its
-     * ordinary share of what stands. Lines in use show these shares at once and to all fronts. Allowances
-     * are counted in turns, so that those of all fronts add up to what a server can do, be they 5 or 500.
+     * Returns the fair interval: the time between set-ups of this front to a server if all fronts together kept it
+     * at its ordinary share of established calls. Lines in use show these shares at once and to all fronts.
+     * Allowances are counted in fair intervals, so that those of all fronts, be they 5 or 500, add up to the
+     * capacity of a server.
      */
     private double fairInterval(Server server) {
-        double byOwnRate = Math.max(1, totalSize / ordinaryLoad(server))
+        double byOwnRate = Math.max(1, totalOrdinaryLoad / ordinaryLoad(server))
                 * Math.max(recentEstablishedSpan, waitBudget)
                 / Math.max(1, recentEstablished);
         return lineOccupancy > 0 && completedCalls > 0
@@ -949,7 +994,10 @@
                 : byOwnRate;
     }
 
-    /** Most lines lately in use; at a new server what it should have by its lines; unknown: all alike. */
+    /**
+     * Returns the recent peak of lines in use. A server with a known start time may be new and counts at least with the
+     * average occupancy of its lines. Where lines are unknown, all servers count the same.
+     */
     private double ordinaryLoad(Server server) {
         double peak = server.startedAt > Double.NEGATIVE_INFINITY
                 ? Math.max(server.peakLinesInUse, lineOccupancy * server.lines)
@@ -973,15 +1021,18 @@
         }
         minTimeToAnswer = minTimeToAnswer == Double.POSITIVE_INFINITY ? 0 : minTimeToAnswer;
         lineOccupancy = lines > 0 ? linesInUse / lines : 0;
-        totalSize = 0;
+        totalOrdinaryLoad = 0;
         for (Server server : servers.values()) {
-            totalSize += server.state == ServerState.RUNNING && !server.down ? ordinaryLoad(server) : 0;
+            totalOrdinaryLoad += server.state == ServerState.RUNNING && !server.down ? ordinaryLoad(server) : 0;
         }
     }
 
-    // ---- Hold and paced hand-over -------------------------------------------------------------------------
+    // ---- Holding and paced dispatch -----------------------------------------------------------------------
 
-    /** Between onset and discard a call is held; past discard everywhere it is refused at once. */
+    /**
+     * Returns whether to hold a call. It is refused at once if it may use no server, if its deadline is near, or if
+     * all servers are past its discard level.
+     */
     private boolean shouldHold(PendingCall call, List<Server> usable, double now) {
         if (usable.isEmpty() || now >= call.deadline - waitBudget) {
             return false;
@@ -1001,7 +1052,7 @@
         actions.refuseCall(call.id, retryAfterAdvice());
     }
 
-    /** A caller who got no service dials again, marked or not, and is late by then. */
+    /** Remembers a caller without service, who will redial, marked as a redial or not, and be late by then. */
     private void markUnserved(PendingCall call) {
         unservedNumbers.putIfAbsent(
                 call.number,
@@ -1009,21 +1060,20 @@
                         + settings.classes().get(call.callClass).deadline().orElse(DEFAULT_AIM_MS));
     }
 
-    /** Redials are spread, or they come back in step. */
+    /** Returns a random advice when to redial, so that redials do not arrive in step. */
     private double retryAfterAdvice() {
         return settings.maxRetryAfter().orElse(0) * (0.5 + 0.5 * random.nextDouble());
     }
 
     /**
-     * Sends what may go, highest worth first, holds the rest, or refuses it where holding is of no use. Where
-     * one call must be held, those of its kind behind it must be too, and of those that avoid one server the
-     * others: within a moment servers only close. So a moment tries one call of each group, those that it
-     * sends or refuses, and those whose time is all but over, and walks no others.
+     * Sends the calls that may go, highest rank first, and holds the others or refuses them if holding is of no use.
+     * Within one batch servers only close. So if one call must be held, later ones of its kind must be held, too;
+     * if the call avoids a server, that goes for the later ones of its group. A batch therefore visits only one held
+     * call per group, the calls that it sends or refuses, and those near their deadline.
      */
     private void dispatch(double now) {
         Set<CallKind> closedKinds = new HashSet<>();
-        PriorityQueue<GroupCursor> cursors =
-                new PriorityQueue<>((a, b) -> DISPATCH_ORDER.compare(a.current, b.current));
+        PriorityQueue<CallCursor> cursors = new PriorityQueue<>((a, b) -> DISPATCH_ORDER.compare(a.current, b.current));
         TreeSet<PendingCall> nearDeadline = new TreeSet<>(DISPATCH_ORDER);
         for (PendingCall call : heldByDeadline) {
             if (now < call.deadline - waitBudget) {
@@ -1038,15 +1088,15 @@
                 .filter(callGroup -> !callGroup.kind.rerouted)
                 .toList();
         for (CallGroup callGroup : groups.values()) {
-            enqueue(cursors, new GroupCursor(callGroup, callGroup.ready));
+            enqueue(cursors, new CallCursor(callGroup, callGroup.ready));
             if (!callGroup.deferred.isEmpty()
                     && !shouldHold(callGroup.deferred.first(), usableServers(callGroup.deferred.first()), now)) {
-                enqueue(cursors, new GroupCursor(callGroup, callGroup.deferred));
+                enqueue(cursors, new CallCursor(callGroup, callGroup.deferred));
             }
         }
-        enqueue(cursors, new GroupCursor(null, nearDeadline));
+        enqueue(cursors, new CallCursor(null, nearDeadline));
         while (!cursors.isEmpty()) {
-            GroupCursor cursor = cursors.poll();
+            CallCursor cursor = cursors.poll();
             if (cursor.group != null && closedKinds.contains(cursor.group.kind)) {
                 continue;
             }
@@ -1056,7 +1106,7 @@
                 cursors.add(cursor);
             }
         }
-        // What is left has been moved from its first place: it is handed over at the pace from now on.
+        // The calls that remain count as rerouted: they are sent at the paced rate from now on.
         for (CallGroup callGroup : firstTimeGroups) {
             for (PendingCall call : List.copyOf(callGroup.ready)) {
                 removeFromGroup(call);
@@ -1066,13 +1116,13 @@
         }
     }
 
-    private static void enqueue(PriorityQueue<GroupCursor> cursors, GroupCursor cursor) {
+    private static void enqueue(PriorityQueue<CallCursor> cursors, CallCursor cursor) {
         if (cursor.current != null) {
             cursors.add(cursor);
         }
     }
 
-    /** Tries one held call; returns whether the next of its group may fare otherwise. */
+    /** Sends, refuses or keeps one held call; returns whether the next of its group may fare differently. */
     private boolean tryDispatch(PendingCall call, CallGroup group, Set<CallKind> closedKinds, double now) {
         List<Server> usable = usableServers(call);
         Server server = now >= call.notBefore ? chooseServer(call, usable, now) : null;
@@ -1106,7 +1156,10 @@
 
     // ---- Guards -----------------------------------------------------------------------------------------
 
-    /** Guards a call against a server gone silent: with no answer of any kind since it was sent, it moves. */
+    /**
+     * Guards calls against a server that has become silent: cancels an attempt if the server has answered nothing
+     * since it was sent and another server is open.
+     */
     private void cancelSilentAttempts(Server server, double now) {
         double maxSilence = unloadedDelay(server) + waitBudget + 2 * server.waitEstimate;
         for (Map.Entry<Long, Double> attempt : server.unanswered.entrySet()) {
@@ -1120,6 +1173,7 @@
         }
     }
 
+    /** Cancels the attempt of a call if enough time remains to try another server. */
     private void cancelIfTimeLeft(PendingCall call, double now) {
         boolean timeToReroute = now + releaseGuard + waitBudget < call.deadline && call.attempts < maxAttempts;
         if (mayCancel && timeToReroute && !call.cancelRequested) {
@@ -1137,12 +1191,12 @@
         return false;
     }
 
-    /** A server starts cold: it gets this front's share of what it can do, and no more, until it is warm. */
-    private void startCold(Server server, double startedAt, double now) {
+    /** Begins the warm-up of a server: until it is warm, it gets no more than this front's share of its capacity. */
+    private void beginWarmUp(Server server, double startedAt, double now) {
         server.startedAt = startedAt;
         server.down = false;
         server.consecutiveFailures = 0;
-        // Fronts hear of a start together: a random part of the first token keeps them out of step.
+        // All fronts learn of a start at once: a random part of the first token keeps them out of step.
         server.tokens = random.nextDouble();
         server.tokensUpdatedAt = now;
         server.throttle = 0;
@@ -1151,15 +1205,16 @@
         setEstimate(server, server.meanWait, now);
     }
 
-    /** The share of its capacity that a server has surely reached since its start. */
+    /** Returns the share of its capacity that a server has certainly reached since its start. */
     private double warmUpShare(Server server, double now) {
         double age = now - server.startedAt;
         return age >= warmUpTime ? 1 : coldCapacityShare + (1 - coldCapacityShare) * Math.max(0, age) / warmUpTime;
     }
 
     /**
-     * The turns of a server that is cold or squeezed: a cold one gets a fair share as its warmth allows, a
-     * squeezed one what its answers showed it to bear. As at the levels, each rank stops before the next.
+     * Refills the token bucket of a server that is cold or throttled, and returns whether a call of this rank may be
+     * sent there. A cold server gets the fair rate times its warm-up share, a throttled one the rate that its answers
+     * showed it to sustain. As with the levels, a lower rank stops before a higher one.
      */
     private boolean hasSendToken(Server server, int rank, double now) {
         double warmth = warmUpShare(server, now);
--- a/src/main/java/damsonseam/RoutingPolicy.java
+++ b/src/main/java/damsonseam/RoutingPolicy.java
@@ -6,48 +6,65 @@
 import java.util.OptionalInt;
 
 /**
- * What a front tells its decision module. Each method is one event; {@code now} is the front's own clock in
- * milliseconds, which starts anywhere and never runs backwards. The module answers through {@link PolicyActions},
- * during the call of the event or not at all. Durations are in milliseconds. An optional value that is empty
- * was not given. One object serves one front; it holds no threads and reads no clock.
+ * Decides for one front which server gets each call. Each method of this interface reports one event to the policy;
+ * the policy responds through {@link PolicyActions}, during the call that reports the event or not at all.
+ *
+ * <p>{@code now} is the front's own clock in milliseconds; its origin is arbitrary and it never runs backwards. All
+ * durations are in milliseconds, too. An empty optional value was not given.
+ *
+ * <p>An instance serves one front and is confined to the thread of that front; it starts no threads and reads no clock.
  */
 public interface RoutingPolicy {
 
-    /** News of the servers. With {@code full} the list replaces the old one, else it holds the changes. */
+    /**
+     * Reports an update of the server list.
+     *
+     * @param full whether {@code entries} replaces the whole list; otherwise it holds the changed entries
+     */
     void onServerListUpdate(double now, boolean full, List<ServerEntry> entries);
 
-    /** A request for the list, or for its changes, failed; the old list stays. */
+    /** Reports that a request for the server list or for its changes failed; the present list remains valid. */
     void onServerListFailure(double now);
 
-    /** A call is handed to this front, which owes it one final answer or a set-up that stands. */
+    /** Reports a call offered to this front, which must refuse it, fail it or establish it. */
     void onCallOffered(double now, Call call);
 
-    /** The attempt succeeded: the call stands, and its set-up took {@code delay}. */
-    void onCallEstablished(double now, long call, String server, int attempt, double delay);
+    /**
+     * Reports that an attempt succeeded and the call is established.
+     *
+     * @param delay time from the set-up to its answer, in milliseconds
+     */
+    void onCallEstablished(double now, long callId, String serverId, int attempt, double delay);
 
-    /** An attempt, or a standing call, came to its end. */
-    void onAttemptOutcome(double now, AttemptOutcome ending);
+    /** Reports the outcome of an attempt, or the release of an established call. */
+    void onAttemptOutcome(double now, AttemptOutcome outcome);
 
-    /** The caller went away; nothing more is owed. */
-    void onCallAbandoned(double now, long call);
+    /** Reports that the caller abandoned the call; it needs no answer any more. */
+    void onCallAbandoned(double now, long callId);
 
-    /** The answer to a probe; {@code asked} is false for news that came without one. */
+    /**
+     * Reports the result of a probe, or a load report that came without one.
+     *
+     * @param asked whether this front had sent a probe
+     * @param answered whether the server answered the probe
+     * @param delay time from the probe to its result, in milliseconds
+     */
     void onProbeResult(
-            double now, String server, boolean asked, boolean answered, double delay, ServerLoadReport report);
+            double now, String serverId, boolean asked, boolean answered, double delay, ServerLoadReport report);
 
-    /** A message from another front. */
+    /** Reports a message from another front. */
     void onMessage(double now, int from, byte[] body);
 
-    /** A timer set by {@link PolicyActions#startTimer} is due. */
+    /** Reports that a timer started by {@link PolicyActions#startTimer} has expired. */
     void onTimer(double now, long token);
 
     /**
-     * All events of this moment have been handed over. The module sends and calls back here only, so that it
-     * never acts on half the news of a moment; call it after each event, or after all that came at once.
+     * Ends a batch of simultaneous events. The policy sends and cancels only here, so that it never acts on part of
+     * a batch. Call it after each event, or after all events of one instant.
      */
     void onBatchEnd(double now);
 
-    /** Whether a server takes work. */
+    /** Whether a server accepts calls. */
     enum ServerState {
         RUNNING,
         DRAINING,
@@ -66,7 +83,7 @@
         NOT_SENT
     }
 
-    /** Why a call was turned away, where the ending says so. */
+    /** Why a server rejected a call, if its answer gives a reason. */
     enum RejectReason {
         NONE,
         NO_LINE,
@@ -75,12 +92,27 @@
         NUMBER_BUSY
     }
 
-    /** One server of the list. {@code number} is what a call's {@code firstChoice} refers to. */
+    /**
+     * One server of the server list.
+     *
+     * @param id unique name of the server process
+     * @param index index by which calls and classes refer to the server
+     * @param startedAt start of the process on the front's clock, in milliseconds
+     * @param state whether the server accepts calls
+     */
     record ServerEntry(String id, int index, OptionalDouble startedAt, ServerState state) {}
 
     /**
-     * A call handed to this front. {@code timeLeft} runs until the caller gives this try up; {@code servers}
-     * holds the numbers that it may use, empty when any of its class will do.
+     * A call offered to this front.
+     *
+     * @param id id of the call, unique within the front
+     * @param number dialled number
+     * @param callClass index of the call's class in {@link PolicySettings#classes}
+     * @param firstChoiceIndex index of the preferred server, or -1 for none
+     * @param timeLeft time until the caller gives up this attempt to call, in milliseconds
+     * @param redialled whether the call is marked as a redial
+     * @param inTransit whether the call must go to its first choice and to no other server
+     * @param allowedServers indexes of the servers that the call may use; empty if any server of its class will do
      */
     record Call(
             long id,
@@ -91,20 +123,32 @@
             boolean redialled,
             boolean inTransit,
             List<Integer> allowedServers) {
-        /** A call that may use any server of its class. */
+        /** Creates a call that may use any server of its class. */
         public Call(
                 long id,
                 String number,
                 int callClass,
-                int firstChoice,
+                int firstChoiceIndex,
                 double timeLeft,
                 boolean redialled,
                 boolean inTransit) {
-            this(id, number, callClass, firstChoice, timeLeft, redialled, inTransit, List.of());
+            this(id, number, callClass, firstChoiceIndex, timeLeft, redialled, inTransit, List.of());
         }
     }
 
-    /** The end of an attempt. With {@code last} the call is over, else the front still owes its answer. */
+    /**
+     * The outcome of an attempt, or the release of an established call.
+     *
+     * @param callId id of the call
+     * @param serverId id of the server that the attempt went to
+     * @param attempt index of the attempt within its call, from 0
+     * @param delay time from the set-up to the outcome, in milliseconds
+     * @param status how the attempt ended
+     * @param reason reason that the server gave for a rejection
+     * @param retryAfter time for which the server asks not to be tried again, in milliseconds
+     * @param terminal whether the call is over; otherwise its final answer is still pending
+     * @param report load report that came with the outcome
+     */
     record AttemptOutcome(
             long callId,
             String serverId,
@@ -116,14 +160,22 @@
             boolean terminal,
             ServerLoadReport report) {}
 
-    /** A server's figures of itself, late and inexact; what is not reported is empty. */
+    /**
+     * A server's report of its own load. It is late and inexact; figures that were not reported are empty.
+     *
+     * @param freeLines number of free lines
+     * @param lines number of all lines
+     * @param processorWait wait for the processor, in milliseconds
+     * @param utilization share of time that the processor is busy
+     * @param queueLength number of set-ups that wait
+     */
     record ServerLoadReport(
             OptionalDouble freeLines,
             OptionalDouble lines,
             OptionalDouble processorWait,
             OptionalDouble utilization,
             OptionalDouble queueLength) {
-        /** A report that says nothing. */
+        /** A report without any figures. */
         public static final ServerLoadReport NONE = new ServerLoadReport(
                 OptionalDouble.empty(),
                 OptionalDouble.empty(),
@@ -132,7 +184,15 @@
                 OptionalDouble.empty());
     }
 
-    /** A class of call. {@code servers} holds the numbers it may use; empty when any will do. */
+    /**
+     * A class of calls.
+     *
+     * @param aim time to an answer within which a call earns its full worth, in milliseconds
+     * @param deadline time after which callers of the class give up, in milliseconds
+     * @param worth worth of a call answered within its aim
+     * @param lateShare share of the worth that a call earns after its aim
+     * @param allowedServers indexes of the servers that the class may use; empty if any server will do
+     */
     record CallClass(
             OptionalDouble aim,
             OptionalDouble deadline,
@@ -140,7 +200,29 @@
             OptionalDouble lateShare,
             Optional<List<Integer>> allowedServers) {}
 
-    /** What is known when the front starts. */
+    /**
+     * Settings that are known when the front starts.
+     *
+     * @param seed seed of all random choices
+     * @param fronts number of fronts that share the servers
+     * @param classes classes of calls
+     * @param ownIndex index of a server that this front must not use, as it stands for the front itself
+     * @param maxAttempts maximum number of attempts per call
+     * @param mayCancel whether the policy may cancel attempts
+     * @param mayProbe whether the policy may send probes
+     * @param mayMessage whether the policy may send messages to other fronts
+     * @param serverListOnRequest whether the server list must be requested
+     * @param tick resolution of the front's timers, in milliseconds
+     * @param answerSlack tolerance for late final answers, in milliseconds
+     * @param drainGracePeriod time within which set-ups to a draining or gone server must stop, in milliseconds
+     * @param coldCapacityShare share of its capacity that a server has right after its start
+     * @param warmUpTime time from the start of a server to its full capacity, in milliseconds
+     * @param overloadMultiple multiple of its capacity that makes a cold server fail when it is offered that
+     * @param overloadWindow time for which it must be offered that, in milliseconds
+     * @param releaseGuard guard time after an unanswered attempt, in milliseconds
+     * @param retransmitAfter time after which an unanswered set-up is retransmitted, in milliseconds
+     * @param maxRetryAfter longest time for which a refused caller may be told to stay away, in milliseconds
+     */
     record PolicySettings(
             long seed,
             OptionalInt fronts,
@@ -162,30 +244,43 @@
             OptionalDouble retransmitAfter,
             OptionalDouble maxRetryAfter) {}
 
-    /** What the module asks of its front. */
+    /** Actions that a policy requests from its front. */
     interface PolicyActions {
-        /** Sends a set-up, to be abandoned at {@code abandonAt} on the front's clock. */
-        void sendSetUp(long call, String server, double abandonAt);
+        /**
+         * Sends a set-up.
+         *
+         * @param abandonAt time on the front's clock at which the attempt is to be abandoned, in milliseconds
+         */
+        void sendSetUp(long callId, String serverId, double abandonAt);
 
-        /** Final answer: refused, with advice how long to stay away (0 for none). */
-        void refuseCall(long call, double returnAfter);
+        /**
+         * Gives the final answer that a call is refused.
+         *
+         * @param retryAfter time for which the caller is advised not to redial, in milliseconds; 0 for no advice
+         */
+        void refuseCall(long callId, double retryAfter);
 
-        /** Final answer: given up. */
-        void failCall(long call);
+        /** Gives the final answer that a call has failed. */
+        void failCall(long callId);
 
-        /** Ceases to wait for an attempt. */
-        void cancelAttempt(long call, int attempt);
+        /** Stops waiting for an attempt. */
+        void cancelAttempt(long callId, int attempt);
 
-        /** Asks for a timer event. */
-        void startTimer(double after, long token);
+        /**
+         * Starts a timer.
+         *
+         * @param delay time until {@link RoutingPolicy#onTimer} is called, in milliseconds
+         * @param token value to pass to {@link RoutingPolicy#onTimer}
+         */
+        void startTimer(double delay, long token);
 
-        /** Probes a server. */
-        void sendProbe(String server);
+        /** Sends a probe to a server. */
+        void sendProbe(String serverId);
 
-        /** Asks for the whole list once. */
+        /** Requests the whole server list once. */
         void fetchServerList();
 
-        /** Asks for changes of the list from now on. */
+        /** Requests changes of the server list from now on. */
         void followServerList();
     }
 }
