--- a/src/main/java/damsonseam/bench/Baseline.java
+++ b/src/main/java/damsonseam/bench/Baseline.java
@@ -11,7 +11,7 @@
     LEVELS {
         @Override
         Admission admission(FrontSettings settings) {
-            return new Gate(settings.levels(), settings.ranks().count(), 1);
+            return new Gate(settings.overloadSettings(), settings.ranks().count(), 1);
         }
     },
     /** No shedding: only the bounds of lines and tables. */
@@ -32,7 +32,7 @@
     RANDOM {
         @Override
         Admission admission(FrontSettings settings) {
-            Gate one = new Gate(settings.levels(), 1, 1);
+            Gate one = new Gate(settings.overloadSettings(), 1, 1);
             SplittableRandom random = new SplittableRandom(1);
             return (now, rank, sender, load) -> one.decide(now, 0, random.nextLong(), load);
         }
--- a/src/main/java/damsonseam/bench/DrainBench.java
+++ b/src/main/java/damsonseam/bench/DrainBench.java
@@ -2,7 +2,7 @@
 
 import damsonseam.audit.WireLog;
 import damsonseam.config.Endpoint;
-import damsonseam.config.Span;
+import damsonseam.config.TimeSpan;
 import damsonseam.directory.wire.State;
 import damsonseam.front.FrontServer;
 import damsonseam.ss7.Isup;
@@ -38,12 +38,12 @@
                 "simulacion",
                 "59821",
                 1.0,
-                Span.of("1.5 s"),
-                Span.of("9 s"),
-                Span.of("3 s"),
+                TimeSpan.parse("1.5 s"),
+                TimeSpan.parse("9 s"),
+                TimeSpan.parse("3 s"),
                 1.0,
                 0.25,
-                Span.of("100 ms"),
+                TimeSpan.parse("100 ms"),
                 0);
         Scenario scenario = new Scenario(
                 "drain",
@@ -52,7 +52,7 @@
                 FRONTS,
                 new Scenario.Calculators(4, each),
                 new Scenario.Load(800.0, List.of(kind)),
-                new Scenario.Directory(Span.ms(0), null),
+                new Scenario.Directory(TimeSpan.ms(0), null),
                 null,
                 null);
         Path folder = Files.createTempDirectory("drain");
--- a/src/main/java/damsonseam/bench/FrontProcess.java
+++ b/src/main/java/damsonseam/bench/FrontProcess.java
@@ -108,9 +108,9 @@
         ((Logger) LoggerFactory.getLogger(Logger.ROOT_LOGGER_NAME)).setLevel(Level.OFF);
         FrontSettings settings = Yaml.read(Path.of(args[0]), FrontSettings.class);
         Baseline baseline = Baseline.valueOf(args[1].toUpperCase(Locale.ROOT));
-        FrontServer.Parts own = FrontServer.Parts.own(settings);
+        FrontServer.Components own = FrontServer.Components.defaults(settings);
         try (FrontServer front = FrontServer.start(
-                settings, new FrontServer.Parts(own.module(), () -> baseline.admission(settings)), false)) {
+                settings, new FrontServer.Components(own.module(), () -> baseline.admission(settings)), false)) {
             if (!front.awaitReady(READY_MS)) {
                 throw new IOException("the front was not ready");
             }
--- a/src/main/java/damsonseam/bench/MemoryBench.java
+++ b/src/main/java/damsonseam/bench/MemoryBench.java
@@ -7,7 +7,7 @@
 import damsonseam.Front.State;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
-import damsonseam.config.Span;
+import damsonseam.config.TimeSpan;
 import damsonseam.core.CallRecord;
 import damsonseam.core.CallTable;
 import damsonseam.core.Candidates;
@@ -37,9 +37,9 @@
         Timers timers = new Timers(0);
         FrontSettings settings = new FrontSettings(
                 new FrontSettings.Identity("memory", 1, 1L),
-                new FrontSettings.Enumeration(new Endpoint("127.0.0.1", 0), "e164.example.org", null, null),
-                List.of(new FrontSettings.ClassOfCall("c", Span.ms(600_000), Span.ms(900_000), 1.0, 0.0)),
-                List.of(new FrontSettings.NumberRange("5", "c", Span.ms(600_000))),
+                new FrontSettings.EnumSettings(new Endpoint("127.0.0.1", 0), "e164.example.org", null, null),
+                List.of(new FrontSettings.CallClassSettings("c", TimeSpan.ms(600_000), TimeSpan.ms(900_000), 1.0, 0.0)),
+                List.of(new FrontSettings.NumberRange("5", "c", TimeSpan.ms(600_000))),
                 new FrontSettings.Upstream(List.of(new Endpoint("127.0.0.1", 1)), null, null, null, null, null),
                 new FrontSettings.Directory(new Endpoint("127.0.0.1", 1)),
                 null,
@@ -54,8 +54,8 @@
         List<Long> lookups = new ArrayList<>();
         // The simplest module that sends: what is measured is the path, and the real one holds no standing calls.
         Router router = new Router(
-                new RouterSettings(settings.forModule(1), 2 * count, 5, 100, 20),
-                a -> new Decide(settings.forModule(1), a),
+                new RouterSettings(settings.moduleSettings(1), 2 * count, 5, 100, 20),
+                a -> new Decide(settings.moduleSettings(1), a),
                 new CallTable(2 * count, 1),
                 timers,
                 (call, number, deadline) -> lookups.add(call),
--- a/src/main/java/damsonseam/bench/OverloadBench.java
+++ b/src/main/java/damsonseam/bench/OverloadBench.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
-import damsonseam.config.Span;
+import damsonseam.config.TimeSpan;
 import damsonseam.load.Load;
 import damsonseam.load.LoadPlan;
 import damsonseam.load.LoadPlot;
@@ -140,23 +140,23 @@
                 "simulacion",
                 "59821",
                 0.94,
-                Span.of("1.5 s"),
-                Span.of("9 s"),
-                Span.of("3 s"),
+                TimeSpan.parse("1.5 s"),
+                TimeSpan.parse("9 s"),
+                TimeSpan.parse("3 s"),
                 1.0,
                 0.25,
-                Span.of("20 ms"),
+                TimeSpan.parse("20 ms"),
                 0);
         Scenario.Kind dear = new Scenario.Kind(
                 "tasacion-firma",
                 "59828",
                 0.06,
-                Span.of("1.2 s"),
-                Span.of("6 s"),
-                Span.of("2.2 s"),
+                TimeSpan.parse("1.2 s"),
+                TimeSpan.parse("6 s"),
+                TimeSpan.parse("2.2 s"),
                 8.0,
                 0.25,
-                Span.of("20 ms"),
+                TimeSpan.parse("20 ms"),
                 0);
         return new Surroundings(
                 new Scenario(
--- a/src/main/java/damsonseam/bench/PathBench.java
+++ b/src/main/java/damsonseam/bench/PathBench.java
@@ -1,7 +1,7 @@
 package damsonseam.bench;
 
 import damsonseam.config.Endpoint;
-import damsonseam.config.Span;
+import damsonseam.config.TimeSpan;
 import damsonseam.front.FrontServer;
 import damsonseam.standin.CalculatorSettings;
 import damsonseam.standin.Scenario;
@@ -35,12 +35,12 @@
                 "simulacion",
                 "59821",
                 1.0,
-                Span.of("1.5 s"),
-                Span.of("9 s"),
-                Span.of("3 s"),
+                TimeSpan.parse("1.5 s"),
+                TimeSpan.parse("9 s"),
+                TimeSpan.parse("3 s"),
                 1.0,
                 0.25,
-                Span.of("20 ms"),
+                TimeSpan.parse("20 ms"),
                 0);
         Scenario scenario = new Scenario(
                 "path",
--- a/src/main/java/damsonseam/cli/AuditCommand.java
+++ b/src/main/java/damsonseam/cli/AuditCommand.java
@@ -23,6 +23,6 @@
         AuditReport report = AuditFolder.audit(folder);
         System.out.println(
                 new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(report));
-        return report.violations() == 0 ? Commands.FINE : Commands.FAILED;
+        return report.violations() == 0 ? RootCommand.EXIT_OK : RootCommand.EXIT_FAILED;
     }
 }
--- a/src/main/java/damsonseam/cli/BadDayCommand.java
+++ b/src/main/java/damsonseam/cli/BadDayCommand.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
 import damsonseam.audit.CallStory;
-import damsonseam.config.Span;
+import damsonseam.config.TimeSpan;
 import damsonseam.config.Yaml;
 import damsonseam.day.Day;
 import damsonseam.day.DaySearch;
@@ -64,13 +64,13 @@
 
     @Override
     public Integer call() throws Exception {
-        Ranges.check("--fronts", fronts, 1, 500);
-        Ranges.check("--seconds", seconds, 1, 86_400);
-        Ranges.check("--runs", runs, 1, 100_000);
+        OptionChecks.checkRange("--fronts", fronts, 1, 500);
+        OptionChecks.checkRange("--seconds", seconds, 1, 86_400);
+        OptionChecks.checkRange("--runs", runs, 1, 100_000);
         Scenario given = file == null ? standard() : Yaml.read(file, Scenario.class);
         Scenario scenario = new Scenario(
                 given.name(),
-                seconds == null ? given.length() : Span.ms(seconds * 1_000),
+                seconds == null ? given.length() : TimeSpan.ms(seconds * 1_000),
                 seed == null ? given.seed() : seed,
                 fronts == null ? given.fronts() : fronts,
                 given.calculators(),
@@ -79,7 +79,7 @@
                 given.cycle(),
                 given.troubles());
         if (runs == 1) {
-            return play(scenario, out).audit().violations() == 0 ? Commands.FINE : Commands.FAILED;
+            return play(scenario, out).audit().violations() == 0 ? RootCommand.EXIT_OK : RootCommand.EXIT_FAILED;
         }
         DaySearch search = new DaySearch(scenario);
         for (int i = 0; i < runs; i++) {
@@ -96,13 +96,13 @@
                 System.out.println(new ObjectMapper()
                         .enable(SerializationFeature.INDENT_OUTPUT)
                         .writeValueAsString(found));
-                return Commands.FAILED;
+                return RootCommand.EXIT_FAILED;
             }
             // A day that broke nothing is told by its report; its wire is some hundred megabytes.
             deleteWire(folder);
         }
         System.out.println("{\"days\":" + runs + ",\"violations\":0,\"leastLeftMs\":" + search.leastLeft() + "}");
-        return Commands.FINE;
+        return RootCommand.EXIT_OK;
     }
 
     private static void deleteWire(Path folder) throws IOException {
--- a/src/main/java/damsonseam/cli/BenchCommand.java
+++ b/src/main/java/damsonseam/cli/BenchCommand.java
@@ -46,9 +46,9 @@
 
         @Override
         public Integer call() throws Exception {
-            Ranges.check("--seconds", seconds, 0.5, 3_600);
+            OptionChecks.checkRange("--seconds", seconds, 0.5, 3_600);
             System.out.println(new ObjectMapper().writeValueAsString(PathBench.run(seconds)));
-            return Commands.FINE;
+            return RootCommand.EXIT_OK;
         }
     }
 
@@ -60,9 +60,9 @@
 
         @Override
         public Integer call() throws Exception {
-            Ranges.check("--calls", calls, 1, 10_000_000);
+            OptionChecks.checkRange("--calls", calls, 1, 10_000_000);
             System.out.println(new ObjectMapper().writeValueAsString(MemoryBench.run(calls)));
-            return Commands.FINE;
+            return RootCommand.EXIT_OK;
         }
     }
 
@@ -106,15 +106,15 @@
 
         @Override
         public Integer call() throws Exception {
-            Ranges.check("--seconds", seconds, 2, 3_600);
-            Ranges.check("--most", most, 1, 100);
+            OptionChecks.checkRange("--seconds", seconds, 2, 3_600);
+            OptionChecks.checkRange("--most", most, 1, 100);
             if (out != null) {
                 Files.createDirectories(out);
             }
             System.out.println(new ObjectMapper()
                     .writeValueAsString(OverloadBench.run(
                             seconds, most, admission, List.of(options.trim().split(" +")), out)));
-            return Commands.FINE;
+            return RootCommand.EXIT_OK;
         }
     }
 
@@ -131,9 +131,9 @@
 
         @Override
         public Integer call() throws Exception {
-            Ranges.check("--drains", drains, 1, 10_000);
+            OptionChecks.checkRange("--drains", drains, 1, 10_000);
             System.out.println(new ObjectMapper().writeValueAsString(DrainBench.run(drains)));
-            return Commands.FINE;
+            return RootCommand.EXIT_OK;
         }
     }
 }
--- a/src/main/java/damsonseam/cli/DemoCommand.java
+++ b/src/main/java/damsonseam/cli/DemoCommand.java
@@ -45,16 +45,16 @@
 
     @Override
     public Integer call() throws Exception {
-        Ranges.check("--port", port, 0, 65_535);
-        Ranges.check("--seconds", seconds, 0, 1e9);
-        Ranges.check("--calculators", calculators, 1, 99);
+        OptionChecks.checkRange("--port", port, 0, 65_535);
+        OptionChecks.checkRange("--seconds", seconds, 0, 1e9);
+        OptionChecks.checkRange("--calculators", calculators, 1, 99);
         Scenario scenario = new Scenario(
                 "demo", null, null, 1, new Scenario.Calculators(calculators, null), null, null, null, null);
         try (Surroundings around = new Surroundings(scenario, null);
                 FrontServer front = FrontServer.start(around.frontSettings(0, new Endpoint("127.0.0.1", port)), true)) {
             if (!front.awaitReady(READY_MS)) {
                 System.err.println("damsonseam: the front was not ready within " + READY_MS + " ms");
-                return Commands.FAILED;
+                return RootCommand.EXIT_FAILED;
             }
             Map<String, Object> ready = new LinkedHashMap<>();
             ready.put("enum", "127.0.0.1:" + front.enumAddress().getPort());
@@ -71,11 +71,11 @@
             ready.put("calculators", signalling);
             System.out.println(new ObjectMapper().writeValueAsString(ready));
             System.out.flush();
-            Until.signalOr(seconds, () -> {
+            ShutdownSignal.awaitThenStop(seconds, () -> {
                 front.drain();
                 around.close();
             });
         }
-        return Commands.FINE;
+        return RootCommand.EXIT_OK;
     }
 }
--- a/src/main/java/damsonseam/cli/FrontCommand.java
+++ b/src/main/java/damsonseam/cli/FrontCommand.java
@@ -39,22 +39,22 @@
 
     @Override
     public Integer call() throws Exception {
-        Ranges.check("--seconds", seconds, 0, 1e9);
+        OptionChecks.checkRange("--seconds", seconds, 0, 1e9);
         FrontSettings settings = Yaml.read(config, FrontSettings.class);
         if (check) {
             System.out.println(config + ": fine");
-            return Commands.FINE;
+            return RootCommand.EXIT_OK;
         }
         FrontServer front = FrontServer.start(settings, true);
         Map<String, Object> ready = new LinkedHashMap<>();
         ready.put("front", settings.front().name());
         ready.put(
                 "enum",
-                settings.enumeration().listen().host() + ":"
+                settings.enumSettings().listen().host() + ":"
                         + front.enumAddress().getPort());
-        ready.put("suffix", settings.enumeration().suffix());
+        ready.put("suffix", settings.enumSettings().suffix());
         System.out.println(new ObjectMapper().writeValueAsString(ready));
-        Until.signalOr(seconds, front::drain);
-        return Commands.FINE;
+        ShutdownSignal.awaitThenStop(seconds, front::drain);
+        return RootCommand.EXIT_OK;
     }
 }
--- a/src/main/java/damsonseam/cli/LoadCommand.java
+++ b/src/main/java/damsonseam/cli/LoadCommand.java
@@ -133,13 +133,13 @@
 
     @Override
     public Integer call() throws Exception {
-        Ranges.check("--rate", rate, 0.01, 1e6);
-        Ranges.check("--factor", factor, 0, 1_000);
-        Ranges.check("--seconds", seconds, 0.1, 86_400);
-        Ranges.check("--threads", threads, 1, 16);
-        Ranges.check("--senders", senders, 1, 200);
-        Ranges.check("--known", known, 1, 10_000_000);
-        Ranges.check("--first", first, 1, 100);
+        OptionChecks.checkRange("--rate", rate, 0.01, 1e6);
+        OptionChecks.checkRange("--factor", factor, 0, 1_000);
+        OptionChecks.checkRange("--seconds", seconds, 0.1, 86_400);
+        OptionChecks.checkRange("--threads", threads, 1, 16);
+        OptionChecks.checkRange("--senders", senders, 1, 200);
+        OptionChecks.checkRange("--known", known, 1, 10_000_000);
+        OptionChecks.checkRange("--first", first, 1, 100);
         LoadPlan plan = plan();
         Map<String, Object> report = new LinkedHashMap<>();
         if (find) {
@@ -156,13 +156,13 @@
             }
         }
         System.out.println(new ObjectMapper().writeValueAsString(report));
-        return Commands.FINE;
+        return RootCommand.EXIT_OK;
     }
 
     private LoadPlan plan() throws Exception {
         List<InetSocketAddress> fronts = new ArrayList<>();
         for (String text : to) {
-            InetSocketAddress at = Ranges.endpoint("--to", text).socket();
+            InetSocketAddress at = OptionChecks.parseEndpoint("--to", text).toSocketAddress();
             if (at.isUnresolved() || !at.getAddress().isLoopbackAddress()) {
                 throw new damsonseam.config.SettingsException("--to: expected a loopback address, found " + text);
             }
@@ -180,7 +180,7 @@
                 new LoadPlan.Kind("tasacion-firma", "59828", 6, 1_200, 2_200, 8, 0.25));
         if (config != null) {
             FrontSettings settings = Yaml.read(config, FrontSettings.class);
-            suffix = settings.enumeration().suffix();
+            suffix = settings.enumSettings().suffix();
             kinds = kinds(settings);
         } else if (shares != null) {
             throw new damsonseam.config.SettingsException("--shares: expected with --config only");
@@ -195,8 +195,8 @@
         }
         List<LoadPlan.Kind> kinds = new ArrayList<>();
         for (FrontSettings.NumberRange range : settings.numbers()) {
-            FrontSettings.ClassOfCall of = settings.classes().stream()
-                    .filter(c -> c.name().equals(range.of()))
+            FrontSettings.CallClassSettings of = settings.classes().stream()
+                    .filter(c -> c.name().equals(range.callClass()))
                     .findFirst()
                     .orElseThrow();
             kinds.add(new LoadPlan.Kind(
--- a/src/main/java/damsonseam/cli/LookupCommand.java
+++ b/src/main/java/damsonseam/cli/LookupCommand.java
@@ -86,7 +86,7 @@
         @Override
         public Endpoint convert(String value) {
             try {
-                return Endpoint.of(value);
+                return Endpoint.parse(value);
             } catch (IllegalArgumentException e) {
                 throw new TypeConversionException(e.getMessage());
             }
@@ -95,14 +95,14 @@
 
     @Override
     public Integer call() throws IOException, DnsFormatException, SettingsException {
-        Ranges.check("--timeout", timeout, 0.01, 3_600);
+        OptionChecks.checkRange("--timeout", timeout, 0.01, 3_600);
         Message query = new Message(new SecureRandom().nextInt(1 << 16));
         try {
             Name name = E164Name.of(number.startsWith("+") ? number.substring(1) : number, E164Name.suffix(suffix));
             query.addRecord(Record.newRecord(name, Type.NAPTR, DClass.IN), Section.QUESTION);
         } catch (IllegalArgumentException e) {
             System.err.println("damsonseam: " + e.getMessage());
-            return Commands.USAGE;
+            return RootCommand.EXIT_USAGE;
         }
         query.addRecord(
                 new OPTRecord(
@@ -120,11 +120,11 @@
         } catch (PortUnreachableException e) {
             System.err.println("damsonseam: nobody listens at " + server + " (UDP): is the front or authority running, "
                     + "and is that its port?");
-            return Commands.FAILED;
+            return RootCommand.EXIT_FAILED;
         } catch (SocketTimeoutException e) {
             result.put("result", "no answer");
             System.out.println(new ObjectMapper().writeValueAsString(result));
-            return Commands.FAILED;
+            return RootCommand.EXIT_FAILED;
         }
     }
 
@@ -134,7 +134,7 @@
         }
         long until = System.nanoTime() + (long) (timeout * 1e9);
         try (DatagramSocket socket = new DatagramSocket()) {
-            InetSocketAddress to = server.socket();
+            InetSocketAddress to = server.toSocketAddress();
             socket.connect(to);
             socket.send(new DatagramPacket(question, question.length, to));
             while (true) {
@@ -156,7 +156,7 @@
 
     private Message askStream(byte[] question) throws IOException, DnsFormatException {
         try (Socket socket = new Socket()) {
-            socket.connect(server.socket(), (int) (timeout * 1_000));
+            socket.connect(server.toSocketAddress(), (int) (timeout * 1_000));
             socket.setSoTimeout((int) (timeout * 1_000));
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             out.writeShort(question.length);
@@ -199,6 +199,6 @@
         }
         result.put("result", kind);
         System.out.println(new ObjectMapper().writeValueAsString(result));
-        return found ? Commands.FINE : Commands.FAILED;
+        return found ? RootCommand.EXIT_OK : RootCommand.EXIT_FAILED;
     }
 }
--- a/src/main/java/damsonseam/cli/Main.java
+++ b/src/main/java/damsonseam/cli/Main.java
@@ -14,6 +14,6 @@
         if (args.length == 1 && args[0].equals("node")) {
             System.exit(NodeCommand.run(System.getenv("NODE_CONFIG")));
         }
-        System.exit(Commands.run(args));
+        System.exit(RootCommand.run(args));
     }
 }
--- a/src/main/java/damsonseam/cli/NodeCommand.java
+++ b/src/main/java/damsonseam/cli/NodeCommand.java
@@ -32,7 +32,7 @@
     @Override
     public Integer call() throws Exception {
         if (rehearse) {
-            return Rehearsal.play() ? Commands.FINE : Commands.FAILED;
+            return Rehearsal.play() ? RootCommand.EXIT_OK : RootCommand.EXIT_FAILED;
         }
         return run(System.getenv("NODE_CONFIG"));
     }
@@ -41,7 +41,7 @@
     static int run(String file) throws Exception {
         if (file == null || file.isEmpty()) {
             System.err.println("damsonseam: NODE_CONFIG names no file");
-            return Commands.USAGE;
+            return RootCommand.EXIT_USAGE;
         }
         // First of all: a signal that comes during the start must neither end the process nor be lost.
         Signals signals = new Signals();
@@ -56,7 +56,7 @@
                 .setLevel(level.isGreaterOrEqual(Level.DEBUG) ? Level.WARN : Level.INFO);
         try {
             if (signals.ended()) {
-                return Commands.FINE; // Nobody has been able to connect.
+                return RootCommand.EXIT_OK; // Nobody has been able to connect.
             }
             NodeServer node = NodeServer.start(NodeConfig.read(config));
             signals.running(() -> reload(config, node));
@@ -65,12 +65,12 @@
             Logging.flush();
         } catch (SettingsException e) {
             System.err.println("damsonseam: " + e.getMessage());
-            return Commands.USAGE;
+            return RootCommand.EXIT_USAGE;
         } catch (IOException e) {
             System.err.println("damsonseam: " + e.getMessage());
-            return Commands.FAILED;
+            return RootCommand.EXIT_FAILED;
         }
-        return Commands.FINE;
+        return RootCommand.EXIT_OK;
     }
 
     /** A file that can't be used leaves what was read before in force. */
--- a/src/main/java/damsonseam/cli/Ranges.java
+++ b/src/main/java/damsonseam/cli/OptionChecks.java
@@ -4,12 +4,12 @@
 import damsonseam.config.SettingsException;
 
 /** Checks of what the command line gives, in the words of the settings' errors and before anything is started. */
-final class Ranges {
+final class OptionChecks {
 
-    private Ranges() {}
+    private OptionChecks() {}
 
     /** A number within its range; null, not given, is fine. */
-    static void check(String option, Number value, double least, double most) throws SettingsException {
+    static void checkRange(String option, Number value, double least, double most) throws SettingsException {
         if (value != null && !(value.doubleValue() >= least && value.doubleValue() <= most)) {
             throw new SettingsException(
                     option + ": expected " + text(least) + " to " + text(most) + ", found " + value);
@@ -21,9 +21,9 @@
     }
 
     /** An address and port. */
-    static Endpoint endpoint(String option, String text) throws SettingsException {
+    static Endpoint parseEndpoint(String option, String text) throws SettingsException {
         try {
-            return Endpoint.of(text);
+            return Endpoint.parse(text);
         } catch (IllegalArgumentException e) {
             throw new SettingsException(option + ": " + e.getMessage());
         }
--- a/src/main/java/damsonseam/cli/Commands.java
+++ b/src/main/java/damsonseam/cli/RootCommand.java
@@ -32,13 +32,13 @@
             NodeCommand.class,
             CommandLine.HelpCommand.class
         })
-public final class Commands implements Runnable {
+public final class RootCommand implements Runnable {
     /** All went well. */
-    static final int FINE = 0;
+    static final int EXIT_OK = 0;
     /** Something failed, or a rule was broken. */
-    static final int FAILED = 1;
+    static final int EXIT_FAILED = 1;
     /** The command line or a settings file is wrong. */
-    static final int USAGE = 2;
+    static final int EXIT_USAGE = 2;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -66,7 +66,7 @@
 
     /** Runs the command line and returns the exit code. */
     public static int run(String[] args) {
-        Commands commands = new Commands();
+        RootCommand commands = new RootCommand();
         CommandLine line = new CommandLine(commands);
         line.setCaseInsensitiveEnumValuesAllowed(true);
         line.setExecutionStrategy(parsed -> {
@@ -86,11 +86,11 @@
     private static int failed(Exception e, PrintWriter err) throws Exception {
         if (e instanceof SettingsException) {
             err.println("damsonseam: " + e.getMessage());
-            return USAGE;
+            return EXIT_USAGE;
         }
         if (e instanceof BindException || e instanceof IOException || e instanceof UncheckedIOException) {
             err.println("damsonseam: " + (e.getMessage() == null ? e.toString() : e.getMessage()));
-            return FAILED;
+            return EXIT_FAILED;
         }
         throw e;
     }
--- a/src/main/java/damsonseam/cli/Until.java
+++ b/src/main/java/damsonseam/cli/ShutdownSignal.java
@@ -4,17 +4,17 @@
 import java.util.concurrent.TimeUnit;
 
 /** Waits for the end that a signal or a time sets, then ends things in order before the process goes. */
-final class Until {
+final class ShutdownSignal {
 
     /** What ends a running program. */
-    interface End {
-        void end() throws Exception;
+    interface StopAction {
+        void stop() throws Exception;
     }
 
-    private Until() {}
+    private ShutdownSignal() {}
 
     /** Returns after {@code seconds} (0: never by itself) or at a signal, having run {@code end} once. */
-    static void signalOr(double seconds, End end) throws Exception {
+    static void awaitThenStop(double seconds, StopAction end) throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
         Thread hook = new Thread(
@@ -34,7 +34,7 @@
             } else {
                 asked.await();
             }
-            end.end();
+            end.stop();
         } finally {
             done.countDown();
             try {
--- a/src/main/java/damsonseam/cli/StandinCommand.java
+++ b/src/main/java/damsonseam/cli/StandinCommand.java
@@ -59,10 +59,10 @@
             return new InetSocketAddress("127.0.0.1", port == 0 ? 0 : port + offset);
         }
 
-        private void ready(Object what, Until.End end) throws Exception {
+        private void ready(Object what, ShutdownSignal.StopAction end) throws Exception {
             System.out.println(new ObjectMapper().writeValueAsString(what));
             System.out.flush();
-            Until.signalOr(seconds, end);
+            ShutdownSignal.awaitThenStop(seconds, end);
         }
     }
 
@@ -87,7 +87,7 @@
                 authority.close();
                 stop(group);
             });
-            return Commands.FINE;
+            return RootCommand.EXIT_OK;
         }
     }
 
@@ -130,7 +130,7 @@
                 all.forEach(Calculator::close);
                 stop(group);
             });
-            return Commands.FINE;
+            return RootCommand.EXIT_OK;
         }
     }
 
@@ -152,14 +152,14 @@
             InetSocketAddress at = directory.start(shared.at(0));
             int number = 0;
             for (Map.Entry<String, String> server : servers.entrySet()) {
-                String address = Endpoint.of(server.getValue()).toString();
+                String address = Endpoint.parse(server.getValue()).toString();
                 directory.setNow(
                         new DirectoryServer.Listed(server.getKey(), number, address, FIRST_POINT_CODE + number),
                         State.RUNNING);
                 number++;
             }
             shared.ready(Map.of("directory", "127.0.0.1:" + at.getPort()), directory::close);
-            return Commands.FINE;
+            return RootCommand.EXIT_OK;
         }
     }
 
--- a/src/main/java/damsonseam/config/Endpoint.java
+++ b/src/main/java/damsonseam/config/Endpoint.java
@@ -11,11 +11,11 @@
  * @param port 0 to 65535
  */
 public record Endpoint(String host, int port) {
-    private static final int MOST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     /** Reads one. */
     @JsonCreator
-    public static Endpoint of(String text) {
+    public static Endpoint parse(String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
@@ -23,7 +23,7 @@
             if (host.startsWith("[") && host.endsWith("]")) {
                 host = host.substring(1, host.length() - 1);
             }
-            if (host.isEmpty() || port < 0 || port > MOST_PORT) {
+            if (host.isEmpty() || port < 0 || port > MAX_PORT) {
                 throw new NumberFormatException();
             }
             return new Endpoint(host, port);
@@ -33,7 +33,7 @@
     }
 
     /** The socket address, resolved. */
-    public InetSocketAddress socket() {
+    public InetSocketAddress toSocketAddress() {
         return new InetSocketAddress(host, port);
     }
 
--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -17,7 +17,7 @@
  * module and has no settings.
  *
  * @param front who this front is
- * @param enumeration the side that callers ask
+ * @param enumSettings the side that callers ask
  * @param classes classes of call
  * @param numbers which numbers are of which class; the longest prefix wins
  * @param upstream the authorities at which numbers are looked up
@@ -29,8 +29,8 @@
  */
 public record FrontSettings(
         Identity front,
-        @com.fasterxml.jackson.annotation.JsonProperty("enum") Enumeration enumeration,
-        List<ClassOfCall> classes,
+        @com.fasterxml.jackson.annotation.JsonProperty("enum") EnumSettings enumSettings,
+        List<CallClassSettings> classes,
         List<NumberRange> numbers,
         Upstream upstream,
         Directory directory,
@@ -41,20 +41,20 @@
 
     /** Checks what concerns several parts at once. */
     public FrontSettings {
-        Check.need(front, "front");
-        Check.need(enumeration, "enum");
-        Check.need(upstream, "upstream");
-        Check.need(directory, "directory");
-        Check.that(classes != null && !classes.isEmpty(), "classes: expected one class at least");
-        Check.that(numbers != null && !numbers.isEmpty(), "numbers: expected one prefix at least");
-        trunks = Check.or(trunks, new Trunks(null, null, null, null, null, null, null, null));
-        fleet = Check.or(fleet, new Fleet(null, null, null, null, null, null, null, null, null, null));
-        limits = Check.or(limits, new Limits(null, null, null, null, null, null));
-        overload = Check.or(overload, new Overload(null, null, null, null, null, null, null, null));
+        Preconditions.requirePresent(front, "front");
+        Preconditions.requirePresent(enumSettings, "enum");
+        Preconditions.requirePresent(upstream, "upstream");
+        Preconditions.requirePresent(directory, "directory");
+        Preconditions.require(classes != null && !classes.isEmpty(), "classes: expected one class at least");
+        Preconditions.require(numbers != null && !numbers.isEmpty(), "numbers: expected one prefix at least");
+        trunks = Preconditions.orDefault(trunks, new Trunks(null, null, null, null, null, null, null, null));
+        fleet = Preconditions.orDefault(fleet, new Fleet(null, null, null, null, null, null, null, null, null, null));
+        limits = Preconditions.orDefault(limits, new Limits(null, null, null, null, null, null));
+        overload = Preconditions.orDefault(overload, new Overload(null, null, null, null, null, null, null, null));
         for (NumberRange range : numbers) {
-            Check.that(
-                    classes.stream().anyMatch(c -> c.name().equals(range.of())),
-                    "numbers: no class is named " + range.of());
+            Preconditions.require(
+                    classes.stream().anyMatch(c -> c.name().equals(range.callClass())),
+                    "numbers: no class is named " + range.callClass());
         }
     }
 
@@ -68,8 +68,8 @@
     public record Identity(String name, Integer pointCode, Long seed) {
         /** Checks. */
         public Identity {
-            Check.need(name, "name");
-            Check.within(Check.need(pointCode, "pointCode"), 1, 16_383, "pointCode");
+            Preconditions.requirePresent(name, "name");
+            Preconditions.requireInRange(Preconditions.requirePresent(pointCode, "pointCode"), 1, 16_383, "pointCode");
         }
     }
 
@@ -81,13 +81,13 @@
      * @param keepAnswers how long an answer is kept for a question sent again
      * @param wayBack time kept free at the end of a caller's patience, for the way of the answer
      */
-    public record Enumeration(Endpoint listen, String suffix, Span keepAnswers, Span wayBack) {
+    public record EnumSettings(Endpoint listen, String suffix, TimeSpan keepAnswers, TimeSpan wayBack) {
         /** Checks. */
-        public Enumeration {
-            Check.need(listen, "listen");
-            E164Name.suffix(Check.need(suffix, "suffix"));
-            keepAnswers = Check.or(keepAnswers, Span.ms(3_000));
-            wayBack = Check.or(wayBack, Span.ms(50));
+        public EnumSettings {
+            Preconditions.requirePresent(listen, "listen");
+            E164Name.suffix(Preconditions.requirePresent(suffix, "suffix"));
+            keepAnswers = Preconditions.orDefault(keepAnswers, TimeSpan.ms(3_000));
+            wayBack = Preconditions.orDefault(wayBack, TimeSpan.ms(50));
         }
     }
 
@@ -100,17 +100,19 @@
      * @param worth of a call that stands in its aim
      * @param lateShare part of the worth of one that stands later
      */
-    public record ClassOfCall(String name, Span aim, Span deadline, Double worth, Double lateShare) {
+    public record CallClassSettings(String name, TimeSpan aim, TimeSpan deadline, Double worth, Double lateShare) {
         /** Checks. */
-        public ClassOfCall {
-            Check.need(name, "name");
-            Check.that(Check.need(aim, "aim").ms() > 0, "aim: expected over 0 ms");
-            Check.that(Check.need(deadline, "deadline").ms() >= aim.ms(), "deadline: expected at least the aim");
-            worth = Check.within(Check.or(worth, 1.0), 0, 1e9, "worth");
-            lateShare = Check.within(Check.or(lateShare, 0.0), 0, 1, "lateShare");
+        public CallClassSettings {
+            Preconditions.requirePresent(name, "name");
+            Preconditions.require(Preconditions.requirePresent(aim, "aim").ms() > 0, "aim: expected over 0 ms");
+            Preconditions.require(
+                    Preconditions.requirePresent(deadline, "deadline").ms() >= aim.ms(),
+                    "deadline: expected at least the aim");
+            worth = Preconditions.requireInRange(Preconditions.orDefault(worth, 1.0), 0, 1e9, "worth");
+            lateShare = Preconditions.requireInRange(Preconditions.orDefault(lateShare, 0.0), 0, 1, "lateShare");
         }
 
-        CallClass forModule() {
+        CallClass toCallClass() {
             return new CallClass(
                     OptionalDouble.of(aim.ms()),
                     OptionalDouble.of(deadline.ms()),
@@ -124,17 +126,22 @@
      * Numbers of one class.
      *
      * @param prefix their leading digits, empty for all others
-     * @param of the name of the class
+     * @param callClass the name of the class
      * @param patience how long their callers wait for one try
      */
     public record NumberRange(
-            String prefix, @com.fasterxml.jackson.annotation.JsonProperty("class") String of, Span patience) {
+            String prefix,
+            @com.fasterxml.jackson.annotation.JsonProperty("class") String callClass,
+            TimeSpan patience) {
         /** Checks. */
         public NumberRange {
-            Check.need(prefix, "prefix");
-            Check.that(prefix.chars().allMatch(c -> c >= '0' && c <= '9'), "prefix: expected digits, found " + prefix);
-            Check.need(of, "class");
-            Check.that(Check.need(patience, "patience").ms() >= 100, "patience: expected 100 ms at least");
+            Preconditions.requirePresent(prefix, "prefix");
+            Preconditions.require(
+                    prefix.chars().allMatch(c -> c >= '0' && c <= '9'), "prefix: expected digits, found " + prefix);
+            Preconditions.requirePresent(callClass, "class");
+            Preconditions.require(
+                    Preconditions.requirePresent(patience, "patience").ms() >= 100,
+                    "patience: expected 100 ms at least");
         }
     }
 
@@ -149,15 +156,20 @@
      * @param staleFor how long old answers are kept past their time
      */
     public record Upstream(
-            List<Endpoint> authorities, String suffix, Integer sockets, Integer tries, Span staleAfter, Span staleFor) {
+            List<Endpoint> authorities,
+            String suffix,
+            Integer sockets,
+            Integer tries,
+            TimeSpan staleAfter,
+            TimeSpan staleFor) {
         /** Checks. */
         public Upstream {
-            Check.that(authorities != null && !authorities.isEmpty(), "authorities: expected one at least");
-            Check.within(authorities.size(), 1, 16, "authorities");
-            sockets = Check.within(Check.or(sockets, 8), 1, 256, "sockets");
-            tries = Check.within(Check.or(tries, 6), 1, 32, "tries");
-            staleAfter = Check.or(staleAfter, Span.ms(300));
-            staleFor = Check.or(staleFor, Span.ms(86_400_000));
+            Preconditions.require(authorities != null && !authorities.isEmpty(), "authorities: expected one at least");
+            Preconditions.requireInRange(authorities.size(), 1, 16, "authorities");
+            sockets = Preconditions.requireInRange(Preconditions.orDefault(sockets, 8), 1, 256, "sockets");
+            tries = Preconditions.requireInRange(Preconditions.orDefault(tries, 6), 1, 32, "tries");
+            staleAfter = Preconditions.orDefault(staleAfter, TimeSpan.ms(300));
+            staleFor = Preconditions.orDefault(staleFor, TimeSpan.ms(86_400_000));
         }
     }
 
@@ -165,7 +177,7 @@
     public record Directory(Endpoint address) {
         /** Checks. */
         public Directory {
-            Check.need(address, "address");
+            Preconditions.requirePresent(address, "address");
         }
     }
 
@@ -184,24 +196,24 @@
      */
     public record Trunks(
             Integer circuits,
-            Span probeTimeout,
-            Span heartbeat,
-            Span t1,
-            Span t5,
-            Span t17,
-            Span connectTimeout,
-            Span releaseWait) {
+            TimeSpan probeTimeout,
+            TimeSpan heartbeat,
+            TimeSpan t1,
+            TimeSpan t5,
+            TimeSpan t17,
+            TimeSpan connectTimeout,
+            TimeSpan releaseWait) {
         /** Checks; the timers are Q.764's. */
         public Trunks {
-            circuits = Check.within(Check.or(circuits, 512), 1, 4095, "circuits");
-            probeTimeout = Check.or(probeTimeout, Span.ms(250));
-            heartbeat = Check.or(heartbeat, Span.ms(30_000));
-            t1 = Check.or(t1, Span.ms(15_000));
-            t5 = Check.or(t5, Span.ms(300_000));
-            t17 = Check.or(t17, Span.ms(300_000));
-            connectTimeout = Check.or(connectTimeout, Span.ms(500));
-            releaseWait = Check.or(releaseWait, Span.ms(100));
-            Check.that(t5.ms() >= t1.ms(), "t5: expected at least t1");
+            circuits = Preconditions.requireInRange(Preconditions.orDefault(circuits, 512), 1, 4095, "circuits");
+            probeTimeout = Preconditions.orDefault(probeTimeout, TimeSpan.ms(250));
+            heartbeat = Preconditions.orDefault(heartbeat, TimeSpan.ms(30_000));
+            t1 = Preconditions.orDefault(t1, TimeSpan.ms(15_000));
+            t5 = Preconditions.orDefault(t5, TimeSpan.ms(300_000));
+            t17 = Preconditions.orDefault(t17, TimeSpan.ms(300_000));
+            connectTimeout = Preconditions.orDefault(connectTimeout, TimeSpan.ms(500));
+            releaseWait = Preconditions.orDefault(releaseWait, TimeSpan.ms(100));
+            Preconditions.require(t5.ms() >= t1.ms(), "t5: expected at least t1");
         }
     }
 
@@ -223,25 +235,26 @@
             Integer fronts,
             Integer maxAttempts,
             Boolean probes,
-            Span drainGrace,
+            TimeSpan drainGrace,
             Double coldFrom,
-            Span warmWithin,
+            TimeSpan warmWithin,
             Double tipMultiple,
-            Span tipWindow,
-            Span releaseGuard,
-            Span maxReturnAdvice) {
+            TimeSpan tipWindow,
+            TimeSpan releaseGuard,
+            TimeSpan maxReturnAdvice) {
         /** Checks. */
         public Fleet {
-            fronts = Check.within(Check.or(fronts, 1), 1, 1_000_000, "fronts");
-            maxAttempts = Check.within(Check.or(maxAttempts, 4), 1, 100, "maxAttempts");
-            probes = Check.or(probes, true);
-            drainGrace = Check.or(drainGrace, Span.ms(250));
-            coldFrom = Check.within(Check.or(coldFrom, 0.35), 0.01, 1, "coldFrom");
-            warmWithin = Check.or(warmWithin, Span.ms(14_000));
-            tipMultiple = Check.within(Check.or(tipMultiple, 3.0), 1, 1_000, "tipMultiple");
-            tipWindow = Check.or(tipWindow, Span.ms(1_000));
-            releaseGuard = Check.or(releaseGuard, Span.ms(300));
-            maxReturnAdvice = Check.or(maxReturnAdvice, Span.ms(2_000));
+            fronts = Preconditions.requireInRange(Preconditions.orDefault(fronts, 1), 1, 1_000_000, "fronts");
+            maxAttempts = Preconditions.requireInRange(Preconditions.orDefault(maxAttempts, 4), 1, 100, "maxAttempts");
+            probes = Preconditions.orDefault(probes, true);
+            drainGrace = Preconditions.orDefault(drainGrace, TimeSpan.ms(250));
+            coldFrom = Preconditions.requireInRange(Preconditions.orDefault(coldFrom, 0.35), 0.01, 1, "coldFrom");
+            warmWithin = Preconditions.orDefault(warmWithin, TimeSpan.ms(14_000));
+            tipMultiple =
+                    Preconditions.requireInRange(Preconditions.orDefault(tipMultiple, 3.0), 1, 1_000, "tipMultiple");
+            tipWindow = Preconditions.orDefault(tipWindow, TimeSpan.ms(1_000));
+            releaseGuard = Preconditions.orDefault(releaseGuard, TimeSpan.ms(300));
+            maxReturnAdvice = Preconditions.orDefault(maxReturnAdvice, TimeSpan.ms(2_000));
         }
     }
 
@@ -256,15 +269,17 @@
      * @param drain time that the end of the program gives open calls
      */
     public record Limits(
-            Integer calls, Integer questions, Integer numbers, Integer lookups, Integer connections, Span drain) {
+            Integer calls, Integer questions, Integer numbers, Integer lookups, Integer connections, TimeSpan drain) {
         /** Checks. */
         public Limits {
-            calls = Check.within(Check.or(calls, 100_000), 1, 10_000_000, "calls");
-            questions = Check.within(Check.or(questions, 2 * calls), 1, 20_000_000, "questions");
-            numbers = Check.within(Check.or(numbers, 100_000), 1, 10_000_000, "numbers");
-            lookups = Check.within(Check.or(lookups, 10_000), 1, 1_000_000, "lookups");
-            connections = Check.within(Check.or(connections, 1_000), 1, 100_000, "connections");
-            drain = Check.or(drain, Span.ms(8_000));
+            calls = Preconditions.requireInRange(Preconditions.orDefault(calls, 100_000), 1, 10_000_000, "calls");
+            questions = Preconditions.requireInRange(
+                    Preconditions.orDefault(questions, 2 * calls), 1, 20_000_000, "questions");
+            numbers = Preconditions.requireInRange(Preconditions.orDefault(numbers, 100_000), 1, 10_000_000, "numbers");
+            lookups = Preconditions.requireInRange(Preconditions.orDefault(lookups, 10_000), 1, 1_000_000, "lookups");
+            connections = Preconditions.requireInRange(
+                    Preconditions.orDefault(connections, 1_000), 1, 100_000, "connections");
+            drain = Preconditions.orDefault(drain, TimeSpan.ms(8_000));
         }
     }
 
@@ -281,34 +296,35 @@
      * @param queue calls of each worth that may wait before the loop
      */
     public record Overload(
-            Span delayOnset,
-            Span delayCeiling,
+            TimeSpan delayOnset,
+            TimeSpan delayCeiling,
             Double memoryOnset,
             Double memoryCeiling,
             Double tableOnset,
-            Span forecast,
+            TimeSpan forecast,
             Double fairMultiple,
             Integer queue) {
         /** Checks and defaults. */
         public Overload {
-            delayOnset = Check.or(delayOnset, Span.ms(20));
-            delayCeiling = Check.or(delayCeiling, Span.ms(100));
-            memoryOnset = Check.or(memoryOnset, 0.75);
-            memoryCeiling = Check.or(memoryCeiling, 0.92);
-            tableOnset = Check.or(tableOnset, 0.8);
-            forecast = Check.or(forecast, Span.ms(30_000));
-            fairMultiple = Check.or(fairMultiple, 3.0);
-            queue = Check.within(Check.or(queue, 4_096), 16, 1 << 20, "queue");
-            levels(delayOnset, delayCeiling, memoryOnset, memoryCeiling, tableOnset, forecast, fairMultiple, 0);
+            delayOnset = Preconditions.orDefault(delayOnset, TimeSpan.ms(20));
+            delayCeiling = Preconditions.orDefault(delayCeiling, TimeSpan.ms(100));
+            memoryOnset = Preconditions.orDefault(memoryOnset, 0.75);
+            memoryCeiling = Preconditions.orDefault(memoryCeiling, 0.92);
+            tableOnset = Preconditions.orDefault(tableOnset, 0.8);
+            forecast = Preconditions.orDefault(forecast, TimeSpan.ms(30_000));
+            fairMultiple = Preconditions.orDefault(fairMultiple, 3.0);
+            queue = Preconditions.requireInRange(Preconditions.orDefault(queue, 4_096), 16, 1 << 20, "queue");
+            overloadSettings(
+                    delayOnset, delayCeiling, memoryOnset, memoryCeiling, tableOnset, forecast, fairMultiple, 0);
         }
 
-        private static OverloadSettings levels(
-                Span delayOnset,
-                Span delayCeiling,
+        private static OverloadSettings overloadSettings(
+                TimeSpan delayOnset,
+                TimeSpan delayCeiling,
                 double memoryOnset,
                 double memoryCeiling,
                 double tableOnset,
-                Span forecast,
+                TimeSpan forecast,
                 double fairMultiple,
                 double longestAdvice) {
             return new OverloadSettings(
@@ -324,8 +340,8 @@
     }
 
     /** The levels of the front's own overload. */
-    public OverloadSettings levels() {
-        return Overload.levels(
+    public OverloadSettings overloadSettings() {
+        return Overload.overloadSettings(
                 overload.delayOnset(),
                 overload.delayCeiling(),
                 overload.memoryOnset(),
@@ -338,18 +354,18 @@
 
     /** The ranks of the classes by worth. */
     public Ranks ranks() {
-        return new Ranks(classes.stream().map(ClassOfCall::worth).toList());
+        return new Ranks(classes.stream().map(CallClassSettings::worth).toList());
     }
 
     /** Time between beats of the front's loop, in milliseconds: a quarter of the module's own. */
-    public static final double BEAT = 5;
+    public static final double TICK_MS = 5;
     /** Answers later than this after the caller's time do not count; also the core's own last moment. */
-    public static final double SLACK = 20;
+    public static final double ANSWER_SLACK_MS = 20;
 
     /** What the module is given. */
-    public Settings forModule(long seed) {
+    public Settings moduleSettings(long seed) {
         List<CallClass> forModule = new ArrayList<>();
-        classes.forEach(c -> forModule.add(c.forModule()));
+        classes.forEach(c -> forModule.add(c.toCallClass()));
         return new Settings(
                 seed,
                 OptionalInt.of(fleet.fronts()),
@@ -360,8 +376,8 @@
                 Optional.of(fleet.probes()),
                 Optional.of(false),
                 Optional.of(false),
-                OptionalDouble.of(2 * BEAT),
-                OptionalDouble.of(SLACK),
+                OptionalDouble.of(2 * TICK_MS),
+                OptionalDouble.of(ANSWER_SLACK_MS),
                 OptionalDouble.of(fleet.drainGrace().ms()),
                 OptionalDouble.of(fleet.coldFrom()),
                 OptionalDouble.of(fleet.warmWithin().ms()),
@@ -373,11 +389,11 @@
     }
 
     /** The plan of numbers. */
-    public NumberPlan plan() {
+    public NumberPlan numberPlan() {
         List<NumberPlan.Entry> entries = new ArrayList<>();
         for (NumberRange range : numbers) {
             int place = 0;
-            while (!classes.get(place).name().equals(range.of())) {
+            while (!classes.get(place).name().equals(range.callClass())) {
                 place++;
             }
             entries.add(
--- a/src/main/java/damsonseam/config/Check.java
+++ b/src/main/java/damsonseam/config/Preconditions.java
@@ -1,17 +1,17 @@
 package damsonseam.config;
 
 /** Checks of values, used by the records of settings as they are made. */
-public final class Check {
+public final class Preconditions {
 
-    private Check() {}
+    private Preconditions() {}
 
     /** The value, or its default where the file gives none. */
-    public static <T> T or(T value, T fallback) {
-        return value == null ? fallback : value;
+    public static <T> T orDefault(T value, T defaultValue) {
+        return value == null ? defaultValue : value;
     }
 
     /** The value, which the file must give. */
-    public static <T> T need(T value, String name) {
+    public static <T> T requirePresent(T value, String name) {
         if (value == null) {
             throw new IllegalArgumentException(name + " is missing");
         }
@@ -19,24 +19,24 @@
     }
 
     /** The value, which must lie from {@code least} to {@code most}. */
-    public static int within(int value, int least, int most, String name) {
-        if (value < least || value > most) {
-            throw new IllegalArgumentException(name + ": expected " + least + " to " + most + ", found " + value);
+    public static int requireInRange(int value, int min, int max, String name) {
+        if (value < min || value > max) {
+            throw new IllegalArgumentException(name + ": expected " + min + " to " + max + ", found " + value);
         }
         return value;
     }
 
     /** The value, which must lie from {@code least} to {@code most}. */
-    public static double within(double value, double least, double most, String name) {
-        if (!(value >= least && value <= most)) {
-            throw new IllegalArgumentException(name + ": expected " + least + " to " + most + ", found " + value);
+    public static double requireInRange(double value, double min, double max, String name) {
+        if (!(value >= min && value <= max)) {
+            throw new IllegalArgumentException(name + ": expected " + min + " to " + max + ", found " + value);
         }
         return value;
     }
 
     /** Fails with the message unless the condition holds. */
-    public static void that(boolean holds, String message) {
-        if (!holds) {
+    public static void require(boolean condition, String message) {
+        if (!condition) {
             throw new IllegalArgumentException(message);
         }
     }
--- a/src/main/java/damsonseam/config/Span.java
+++ b/src/main/java/damsonseam/config/TimeSpan.java
@@ -11,13 +11,13 @@
  *
  * @param ms milliseconds
  */
-public record Span(double ms) {
-    private static final Pattern FORM = Pattern.compile("(\\d+(?:\\.\\d+)?)\\s*(ms|s|min|h|d)");
+public record TimeSpan(double ms) {
+    private static final Pattern FORMAT = Pattern.compile("(\\d+(?:\\.\\d+)?)\\s*(ms|s|min|h|d)");
 
     /** Reads one; a number without a unit is refused, as nobody can tell what it means. */
     @JsonCreator
-    public static Span of(String text) {
-        Matcher m = FORM.matcher(text.trim().toLowerCase(Locale.ROOT));
+    public static TimeSpan parse(String text) {
+        Matcher m = FORMAT.matcher(text.trim().toLowerCase(Locale.ROOT));
         if (!m.matches()) {
             throw new IllegalArgumentException("expected a time with its unit, such as 250 ms or 1.5 s, found " + text);
         }
@@ -29,12 +29,12 @@
                     case "h" -> 3_600_000;
                     default -> 86_400_000;
                 };
-        return new Span(Double.parseDouble(m.group(1)) * unit);
+        return new TimeSpan(Double.parseDouble(m.group(1)) * unit);
     }
 
     /** So many milliseconds. */
-    public static Span ms(double ms) {
-        return new Span(ms);
+    public static TimeSpan ms(double ms) {
+        return new TimeSpan(ms);
     }
 
     @JsonValue
--- a/src/main/java/damsonseam/config/Keys.java
+++ b/src/main/java/damsonseam/config/UnknownKeyCheck.java
@@ -15,17 +15,17 @@
  * Finds keys that no record has, before values are bound: a misspelt key would else show as another one that is
  * missing. Walks the file beside the types of the records.
  */
-final class Keys {
+final class UnknownKeyCheck {
     private final String name;
 
-    private Keys(String name) {
+    private UnknownKeyCheck(String name) {
         this.name = name;
     }
 
     /** Refuses the first unknown key, with its line and the nearest known one. */
     static void check(String name, JsonParser in, Class<?> type) throws IOException, SettingsException {
         if (in.nextToken() != null) {
-            new Keys(name).value(in, type, "");
+            new UnknownKeyCheck(name).value(in, type, "");
         }
     }
 
--- a/src/main/java/damsonseam/config/Yaml.java
+++ b/src/main/java/damsonseam/config/Yaml.java
@@ -16,7 +16,7 @@
 
 /** Reads YAML files into records. */
 public final class Yaml {
-    private static final long MOST_OCTETS = 4 << 20;
+    private static final long MAX_FILE_BYTES = 4 << 20;
     private static final ObjectMapper MAPPER = new YAMLMapper(new YAMLFactory())
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .enable(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY)
@@ -31,8 +31,8 @@
      */
     public static <T> T read(Path file, Class<T> type) throws SettingsException {
         try {
-            if (Files.size(file) > MOST_OCTETS) {
-                throw new SettingsException(file + ": over " + MOST_OCTETS + " octets");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new SettingsException(file + ": over " + MAX_FILE_BYTES + " octets");
             }
             return parse(file.toString(), Files.readString(file, StandardCharsets.UTF_8), type);
         } catch (IOException e) {
@@ -44,7 +44,7 @@
     public static <T> T parse(String name, String text, Class<T> type) throws SettingsException {
         try {
             try (JsonParser in = MAPPER.createParser(text)) {
-                Keys.check(name, in, type);
+                UnknownKeyCheck.check(name, in, type);
             }
             T value = MAPPER.readValue(text, type);
             if (value == null) {
@@ -54,13 +54,13 @@
         } catch (JsonProcessingException e) {
             JsonLocation at = e.getLocation();
             String line = at == null ? "" : ":" + at.getLineNr();
-            throw new SettingsException(name + line + ": " + place(e) + what(e));
+            throw new SettingsException(name + line + ": " + keyPath(e) + description(e));
         } catch (IOException e) {
             throw new SettingsException(name + ": " + e.getMessage());
         }
     }
 
-    private static String place(JsonProcessingException e) {
+    private static String keyPath(JsonProcessingException e) {
         if (!(e instanceof JsonMappingException mapping) || mapping.getPath().isEmpty()) {
             return "";
         }
@@ -71,7 +71,7 @@
                 + ": ";
     }
 
-    private static String what(JsonProcessingException e) {
+    private static String description(JsonProcessingException e) {
         Throwable cause = e.getCause();
         if (cause instanceof IllegalArgumentException) {
             return cause.getMessage();
--- a/src/main/java/damsonseam/day/Day.java
+++ b/src/main/java/damsonseam/day/Day.java
@@ -104,8 +104,10 @@
         Admission open = (now, rank, sender, load) -> Admission.TAKE;
         return FrontServer.start(
                 settings,
-                new FrontServer.Parts(
-                        a -> random.apply(settings.forModule(settings.front().seed()), a), () -> open),
+                new FrontServer.Components(
+                        a -> random.apply(
+                                settings.moduleSettings(settings.front().seed()), a),
+                        () -> open),
                 logCalls);
     }
 }
--- a/src/main/java/damsonseam/day/DaySearch.java
+++ b/src/main/java/damsonseam/day/DaySearch.java
@@ -1,7 +1,7 @@
 package damsonseam.day;
 
 import damsonseam.audit.AuditReport;
-import damsonseam.config.Span;
+import damsonseam.config.TimeSpan;
 import damsonseam.standin.Scenario;
 import java.util.ArrayList;
 import java.util.List;
@@ -41,8 +41,8 @@
         for (Scenario.Trouble t : from.troubles()) {
             troubles.add(new Scenario.Trouble(
                     t.kind(),
-                    Span.ms(t.at().ms() * between(0.7, 1.2)),
-                    Span.ms(t.lasts().ms() * between(0.6, 1.6)),
+                    TimeSpan.ms(t.at().ms() * between(0.7, 1.2)),
+                    TimeSpan.ms(t.lasts().ms() * between(0.6, 1.6)),
                     Math.min(1, t.part() * between(0.6, 1.8)),
                     size(t)));
         }
--- a/src/main/java/damsonseam/day/Troubles.java
+++ b/src/main/java/damsonseam/day/Troubles.java
@@ -160,7 +160,7 @@
 
     private void stall(int front, long ms) {
         around.event(Surroundings.frontName(front), WireLog.STALL, Long.toString(ms));
-        fronts.get(front).stall(ms);
+        fronts.get(front).pause(ms);
     }
 
     private void crash(int i, double start, double end) {
--- a/src/main/java/damsonseam/front/DirectoryClient.java
+++ b/src/main/java/damsonseam/front/DirectoryClient.java
@@ -138,7 +138,7 @@
                         default -> throw new IllegalArgumentException("server " + e.getServer() + " without a state");
                     };
             if (e.getServer().isEmpty() || state != State.GONE) {
-                damsonseam.config.Endpoint.of(e.getAddress());
+                damsonseam.config.Endpoint.parse(e.getAddress());
             }
             servers.add(new Pool.Server(
                     e.getServer(),
--- a/src/main/java/damsonseam/front/DnsListener.java
+++ b/src/main/java/damsonseam/front/DnsListener.java
@@ -50,7 +50,7 @@
         this.router = router;
         Ranks ranks = settings.ranks();
         queue = new CallQueue(ranks.count(), settings.overload().queue());
-        load = new FrontLoad(queue, ranks.count(), FrontSettings.BEAT);
+        load = new FrontLoad(queue, ranks.count(), FrontSettings.TICK_MS);
         intake = new Intake(loop, settings, suffix, plan, admission.get(), load, queue, this::drain);
         Admission forStreams = admission.get();
         gate = (now, callClass, source) -> forStreams.decide(now, ranks.of(callClass), sender(source), load);
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -62,32 +62,33 @@
      * @param module makes the decision module
      * @param admission makes what admits calls, once for datagrams and once for streams
      */
-    public record Parts(Function<Front.Actions, Front> module, Supplier<Admission> admission) {
+    public record Components(Function<Front.Actions, Front> module, Supplier<Admission> admission) {
         /** The project's own. */
-        public static Parts own(FrontSettings settings) {
+        public static Components defaults(FrontSettings settings) {
             long seed = settings.front().seed() == null
                     ? new SecureRandom().nextLong()
                     : settings.front().seed();
-            return new Parts(
-                    actions -> new Decide(settings.forModule(seed), actions),
-                    () -> new Gate(settings.levels(), settings.ranks().count(), seed));
+            return new Components(
+                    actions -> new Decide(settings.moduleSettings(seed), actions),
+                    () -> new Gate(settings.overloadSettings(), settings.ranks().count(), seed));
         }
     }
 
-    private FrontServer(FrontSettings settings, Parts parts, boolean logCalls)
+    private FrontServer(FrontSettings settings, Components parts, boolean logCalls)
             throws IOException, InterruptedException {
         this.settings = settings;
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop eventLoop = (EventLoop) group.next();
-        loop = new Loop(eventLoop, FrontSettings.BEAT);
+        loop = new Loop(eventLoop, FrontSettings.TICK_MS);
         trunks = new TrunkLinks(loop, settings);
         directory = new DirectoryClient(
-                loop, settings.front().name(), settings.directory().address().socket());
-        List<InetSocketAddress> authorities =
-                settings.upstream().authorities().stream().map(Endpoint::socket).toList();
+                loop, settings.front().name(), settings.directory().address().toSocketAddress());
+        List<InetSocketAddress> authorities = settings.upstream().authorities().stream()
+                .map(Endpoint::toSocketAddress)
+                .toList();
         sockets = new ResolverSockets(loop, authorities, settings.upstream().sockets());
         FrontSettings.Limits limits = settings.limits();
-        Name suffix = E164Name.suffix(settings.enumeration().suffix());
+        Name suffix = E164Name.suffix(settings.enumSettings().suffix());
         Name zone = settings.upstream().suffix() == null
                 ? suffix
                 : E164Name.suffix(settings.upstream().suffix());
@@ -107,11 +108,11 @@
                 sockets);
         router = new Router(
                 new RouterSettings(
-                        settings.forModule(0),
+                        settings.moduleSettings(0),
                         limits.calls(),
-                        FrontSettings.BEAT,
+                        FrontSettings.TICK_MS,
                         settings.trunks().releaseWait().ms(),
-                        FrontSettings.SLACK),
+                        FrontSettings.ANSWER_SLACK_MS),
                 parts.module(),
                 new CallTable(limits.calls(), System.currentTimeMillis() / 1000),
                 loop.timers(),
@@ -122,14 +123,15 @@
                 trunks,
                 directory,
                 logCalls ? new CallLog(settings.front().name()) : Story.NONE);
-        NumberPlan plan = settings.plan();
+        NumberPlan plan = settings.numberPlan();
         service = new EnumService(
                 suffix,
                 plan,
                 router,
                 new Transactions(
-                        limits.questions(), settings.enumeration().keepAnswers().ms()),
-                settings.enumeration().wayBack().ms());
+                        limits.questions(),
+                        settings.enumSettings().keepAnswers().ms()),
+                settings.enumSettings().wayBack().ms());
         listener = new DnsListener(
                 loop, service, router, settings, plan, new PlainQuestion.Suffix(suffix), parts.admission());
         watch = new SelfWatch(settings, router, resolver, cache, listener.load());
@@ -137,11 +139,11 @@
 
     /** Starts a front; its module decides. Returns when its DNS port is open. */
     public static FrontServer start(FrontSettings settings, boolean logCalls) throws IOException, InterruptedException {
-        return start(settings, Parts.own(settings), logCalls);
+        return start(settings, Components.defaults(settings), logCalls);
     }
 
     /** Starts a front with other parts in the place of the project's own, as a baseline. */
-    public static FrontServer start(FrontSettings settings, Parts parts, boolean logCalls)
+    public static FrontServer start(FrontSettings settings, Components parts, boolean logCalls)
             throws IOException, InterruptedException {
         FrontServer front = new FrontServer(settings, parts, logCalls);
         try {
@@ -156,7 +158,7 @@
     private void open() throws IOException, InterruptedException {
         trunks.start(router);
         sockets.start(resolver, router);
-        listener.bind(settings.enumeration().listen().socket());
+        listener.bind(settings.enumSettings().listen().toSocketAddress());
         loop.eventLoop().execute(() -> {
             directory.start(router, trunks);
             watch.start();
@@ -200,13 +202,13 @@
     }
 
     /** Makes the front stand still for so long, as a fault for tests and scenarios. */
-    public void stall(long millis) {
+    public void pause(long millis) {
         listener.intake().stall(() -> sleep(millis));
-        stallLoop(millis);
+        pauseLoop(millis);
     }
 
     /** Makes the loop alone stand still; the socket is read on. */
-    void stallLoop(long millis) {
+    void pauseLoop(long millis) {
         loop.eventLoop().execute(() -> sleep(millis));
     }
 
--- a/src/main/java/damsonseam/front/Intake.java
+++ b/src/main/java/damsonseam/front/Intake.java
@@ -78,7 +78,7 @@
     private final MpscArrayQueue<DatagramPacket> answers = new MpscArrayQueue<>(ANSWERS);
     private final AtomicBoolean answering = new AtomicBoolean();
     private final QueueAge age;
-    private final LoopGauge gauge = new LoopGauge(FrontSettings.BEAT);
+    private final LoopGauge gauge = new LoopGauge(FrontSettings.TICK_MS);
     private final Counts counts;
     private Channel socket;
     private DatagramChannel direct;
@@ -127,20 +127,20 @@
         this.admission = admission;
         this.load = load;
         this.queue = queue;
-        wayBack = settings.enumeration().wayBack().ms();
+        wayBack = settings.enumSettings().wayBack().ms();
         double patience = settings.numbers().stream()
                 .mapToDouble(n -> n.patience().ms())
                 .max()
                 .orElse(0);
         remembered = new Remembered(
-                patience + settings.enumeration().keepAnswers().ms(),
+                patience + settings.enumSettings().keepAnswers().ms(),
                 settings.limits().questions());
         counts = new Counts(ranks.count());
         fullAdvice = Math.round(settings.fleet().maxReturnAdvice().ms());
         wake = drain;
         byte[] nonce = new byte[NONCE];
         new SecureRandom().nextBytes(nonce);
-        age = new QueueAge(nonce, FrontSettings.BEAT);
+        age = new QueueAge(nonce, FrontSettings.TICK_MS);
     }
 
     /** Binds the socket; reading starts with {@link #start}. */
@@ -172,7 +172,7 @@
 
     /** Starts reading. */
     void start() {
-        long every = (long) (FrontSettings.BEAT * 1_000_000);
+        long every = (long) (FrontSettings.TICK_MS * 1_000_000);
         thread.scheduleWithFixedDelay(
                 () -> {
                     double now = loop.now();
@@ -295,7 +295,7 @@
         counts.offered[rank]++;
         double patience =
                 plain.hints().time() > 0 ? Math.min(plain.hints().time(), entry.patience()) : entry.patience();
-        if (waiting.age() > patience - wayBack - FrontSettings.SLACK) {
+        if (waiting.age() > patience - wayBack - FrontSettings.ANSWER_SLACK_MS) {
             // Its caller has gone, or will have before the answer is there: told so at once, and not set up.
             counts.tooOld++;
             remembered.put(fingerprint, TOO_OLD, now);
--- a/src/main/java/damsonseam/front/SelfWatch.java
+++ b/src/main/java/damsonseam/front/SelfWatch.java
@@ -37,7 +37,7 @@
     private final LookupCache cache;
     private final FrontLoad load;
     private final Vitals vitals = new Vitals();
-    private final LoopGauge gauge = new LoopGauge(FrontSettings.BEAT);
+    private final LoopGauge gauge = new LoopGauge(FrontSettings.TICK_MS);
     private final MemoryWatch memory;
     private final TablePressure tables;
     private final HeldRoom held;
@@ -63,7 +63,7 @@
         this.cache = cache;
         this.load = load;
         front = settings.front().name();
-        levels = settings.levels();
+        levels = settings.overloadSettings();
         ranks = settings.ranks();
         memory = new MemoryWatch(levels);
         tables = new TablePressure(levels, ranks.count());
--- a/src/main/java/damsonseam/front/TrunkLink.java
+++ b/src/main/java/damsonseam/front/TrunkLink.java
@@ -162,7 +162,7 @@
                                         new Handler());
                     }
                 })
-                .connect(damsonseam.config.Endpoint.of(server.address()).socket());
+                .connect(damsonseam.config.Endpoint.parse(server.address()).toSocketAddress());
         made.addListener(f -> {
             if (!f.isSuccess()) {
                 again();
--- a/src/main/java/damsonseam/node/CoordinatorClient.java
+++ b/src/main/java/damsonseam/node/CoordinatorClient.java
@@ -118,7 +118,7 @@
                                 .addLast(new LengthFieldBasedFrameDecoder(MOST_FRAME, 0, 4, 0, 4), new Frames(of));
                     }
                 })
-                .connect(address.socket());
+                .connect(address.toSocketAddress());
         made.addListener(f -> {
             if (!f.isSuccess()) {
                 broke(of, f.cause().toString());
--- a/src/main/java/damsonseam/node/NodeConfig.java
+++ b/src/main/java/damsonseam/node/NodeConfig.java
@@ -61,11 +61,11 @@
         flatten("", need(root, "settings"), paths);
         return new NodeConfig(
                 root.path("name").asText("node"),
-                Endpoint.of(need(root, "listen").asText()),
+                Endpoint.parse(need(root, "listen").asText()),
                 Long.parseUnsignedLong(need(root, "seed").asText(), HEX),
                 Math.max(LEAST_SOCKETS, limits.path("sockets").asInt(LEAST_SOCKETS)),
                 limits.path("memory_mb").asInt(0),
-                Endpoint.of(need(root, "coordinator").asText()),
+                Endpoint.parse(need(root, "coordinator").asText()),
                 events(root.path("known").path("updates")),
                 new StartSettings(paths, expected -> new IllegalArgumentException("settings: expected " + expected)));
     }
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -124,7 +124,7 @@
             loop.kick();
             return null;
         });
-        callers.bind(config.listen().socket());
+        callers.bind(config.listen().toSocketAddress());
         LOG.atInfo()
                 .addKeyValue("node", config.name())
                 .addKeyValue("listen", callers.address().toString())
--- a/src/main/java/damsonseam/node/ServerLink.java
+++ b/src/main/java/damsonseam/node/ServerLink.java
@@ -249,7 +249,7 @@
                         made.pipeline().addLast(decoder, new ServerConnection(ServerLink.this, made, decoder));
                     }
                 })
-                .connect(Endpoint.of(server.address()).socket())
+                .connect(Endpoint.parse(server.address()).toSocketAddress())
                 .addListener(f -> {
                     if (!f.isSuccess()) {
                         notConnected(f.cause());
--- a/src/main/java/damsonseam/standin/CalculatorSettings.java
+++ b/src/main/java/damsonseam/standin/CalculatorSettings.java
@@ -1,7 +1,7 @@
 package damsonseam.standin;
 
-import damsonseam.config.Check;
-import damsonseam.config.Span;
+import damsonseam.config.Preconditions;
+import damsonseam.config.TimeSpan;
 
 /**
  * What a stand-in calculator can do.
@@ -22,27 +22,27 @@
         Double callsPerS,
         Double setUpShare,
         Double rejectShare,
-        Span probeWork,
-        Span turnAwayAfter,
+        TimeSpan probeWork,
+        TimeSpan turnAwayAfter,
         Integer lines,
         Double coldFrom,
-        Span warmWithin,
+        TimeSpan warmWithin,
         Double tipMultiple,
-        Span tipWindow,
-        Span reportEvery) {
+        TimeSpan tipWindow,
+        TimeSpan reportEvery) {
     /** Checks and defaults. */
     public CalculatorSettings {
-        callsPerS = Check.within(Check.or(callsPerS, 33.0), 0.1, 1e6, "callsPerS");
-        setUpShare = Check.within(Check.or(setUpShare, 0.6), 0.05, 0.95, "setUpShare");
-        rejectShare = Check.within(Check.or(rejectShare, 0.2), 0, 1, "rejectShare");
-        probeWork = Check.or(probeWork, Span.ms(0.4));
-        turnAwayAfter = Check.or(turnAwayAfter, Span.ms(2_500));
-        lines = Check.within(Check.or(lines, 2_000), 1, 60_000, "lines");
-        coldFrom = Check.within(Check.or(coldFrom, 0.4), 0.01, 1, "coldFrom");
-        warmWithin = Check.or(warmWithin, Span.ms(12_000));
-        tipMultiple = Check.within(Check.or(tipMultiple, 3.0), 1, 1_000, "tipMultiple");
-        tipWindow = Check.or(tipWindow, Span.ms(1_000));
-        reportEvery = Check.or(reportEvery, Span.ms(250));
+        callsPerS = Preconditions.requireInRange(Preconditions.orDefault(callsPerS, 33.0), 0.1, 1e6, "callsPerS");
+        setUpShare = Preconditions.requireInRange(Preconditions.orDefault(setUpShare, 0.6), 0.05, 0.95, "setUpShare");
+        rejectShare = Preconditions.requireInRange(Preconditions.orDefault(rejectShare, 0.2), 0, 1, "rejectShare");
+        probeWork = Preconditions.orDefault(probeWork, TimeSpan.ms(0.4));
+        turnAwayAfter = Preconditions.orDefault(turnAwayAfter, TimeSpan.ms(2_500));
+        lines = Preconditions.requireInRange(Preconditions.orDefault(lines, 2_000), 1, 60_000, "lines");
+        coldFrom = Preconditions.requireInRange(Preconditions.orDefault(coldFrom, 0.4), 0.01, 1, "coldFrom");
+        warmWithin = Preconditions.orDefault(warmWithin, TimeSpan.ms(12_000));
+        tipMultiple = Preconditions.requireInRange(Preconditions.orDefault(tipMultiple, 3.0), 1, 1_000, "tipMultiple");
+        tipWindow = Preconditions.orDefault(tipWindow, TimeSpan.ms(1_000));
+        reportEvery = Preconditions.orDefault(reportEvery, TimeSpan.ms(250));
     }
 
     /** Defaults throughout. */
--- a/src/main/java/damsonseam/standin/Scenario.java
+++ b/src/main/java/damsonseam/standin/Scenario.java
@@ -1,8 +1,8 @@
 package damsonseam.standin;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import damsonseam.config.Check;
-import damsonseam.config.Span;
+import damsonseam.config.Preconditions;
+import damsonseam.config.TimeSpan;
 import java.util.List;
 
 /**
@@ -20,33 +20,33 @@
  */
 public record Scenario(
         String name,
-        Span length,
+        TimeSpan length,
         Long seed,
         Integer fronts,
         Calculators calculators,
         Load load,
         Directory directory,
-        Span cycle,
+        TimeSpan cycle,
         List<Trouble> troubles) {
 
     /** Checks and defaults. */
     public Scenario {
-        name = Check.or(name, "day");
-        length = Check.or(length, Span.ms(60_000));
-        seed = Check.or(seed, 1L);
-        fronts = Check.within(Check.or(fronts, 8), 1, 500, "fronts");
-        calculators = Check.or(calculators, new Calculators(null, null));
-        load = Check.or(load, new Load(null, null));
-        directory = Check.or(directory, new Directory(null, null));
-        troubles = Check.or(troubles, List.of());
+        name = Preconditions.orDefault(name, "day");
+        length = Preconditions.orDefault(length, TimeSpan.ms(60_000));
+        seed = Preconditions.orDefault(seed, 1L);
+        fronts = Preconditions.requireInRange(Preconditions.orDefault(fronts, 8), 1, 500, "fronts");
+        calculators = Preconditions.orDefault(calculators, new Calculators(null, null));
+        load = Preconditions.orDefault(load, new Load(null, null));
+        directory = Preconditions.orDefault(directory, new Directory(null, null));
+        troubles = Preconditions.orDefault(troubles, List.of());
     }
 
     /** The calculators: how many, and what each can do. */
     public record Calculators(Integer count, CalculatorSettings each) {
         /** Checks and defaults. */
         public Calculators {
-            count = Check.within(Check.or(count, 10), 1, 99, "count");
-            each = Check.or(each, CalculatorSettings.defaults());
+            count = Preconditions.requireInRange(Preconditions.orDefault(count, 10), 1, 99, "count");
+            each = Preconditions.orDefault(each, CalculatorSettings.defaults());
         }
     }
 
@@ -54,31 +54,31 @@
     public record Load(Double callsPerS, List<Kind> classes) {
         /** Checks and defaults: nine cheap calls of ten and a dear one. */
         public Load {
-            callsPerS = Check.within(Check.or(callsPerS, 240.0), 0.01, 1e6, "callsPerS");
-            classes = Check.or(
+            callsPerS = Preconditions.requireInRange(Preconditions.orDefault(callsPerS, 240.0), 0.01, 1e6, "callsPerS");
+            classes = Preconditions.orDefault(
                     classes,
                     List.of(
                             new Kind(
                                     "simulacion",
                                     "59821",
                                     0.94,
-                                    Span.of("1.5 s"),
-                                    Span.of("9 s"),
-                                    Span.of("3 s"),
+                                    TimeSpan.parse("1.5 s"),
+                                    TimeSpan.parse("9 s"),
+                                    TimeSpan.parse("3 s"),
                                     1.0,
                                     0.25,
-                                    Span.of("8.5 s"),
+                                    TimeSpan.parse("8.5 s"),
                                     2),
                             new Kind(
                                     "tasacion-firma",
                                     "59828",
                                     0.06,
-                                    Span.of("1.2 s"),
-                                    Span.of("6 s"),
-                                    Span.of("2.2 s"),
+                                    TimeSpan.parse("1.2 s"),
+                                    TimeSpan.parse("6 s"),
+                                    TimeSpan.parse("2.2 s"),
                                     8.0,
                                     0.25,
-                                    Span.of("4.3 s"),
+                                    TimeSpan.parse("4.3 s"),
                                     2)));
         }
     }
@@ -101,34 +101,36 @@
             String name,
             String prefix,
             Double share,
-            Span aim,
-            Span deadline,
-            Span patience,
+            TimeSpan aim,
+            TimeSpan deadline,
+            TimeSpan patience,
             Double worth,
             Double lateShare,
-            Span hold,
+            TimeSpan hold,
             Integer redials) {
         /** Checks and defaults. */
         public Kind {
-            Check.need(name, "name");
-            Check.that(Check.need(prefix, "prefix").matches("\\d{1,10}"), "prefix: expected 1 to 10 digits");
-            share = Check.within(Check.or(share, 1.0), 0, 1e6, "share");
-            Check.need(aim, "aim");
-            Check.need(deadline, "deadline");
-            Check.need(patience, "patience");
-            worth = Check.within(Check.or(worth, 1.0), 0, 1e6, "worth");
-            lateShare = Check.within(Check.or(lateShare, 0.25), 0, 1, "lateShare");
-            hold = Check.or(hold, Span.ms(8_000));
-            redials = Check.within(Check.or(redials, 2), 0, 10, "redials");
+            Preconditions.requirePresent(name, "name");
+            Preconditions.require(
+                    Preconditions.requirePresent(prefix, "prefix").matches("\\d{1,10}"),
+                    "prefix: expected 1 to 10 digits");
+            share = Preconditions.requireInRange(Preconditions.orDefault(share, 1.0), 0, 1e6, "share");
+            Preconditions.requirePresent(aim, "aim");
+            Preconditions.requirePresent(deadline, "deadline");
+            Preconditions.requirePresent(patience, "patience");
+            worth = Preconditions.requireInRange(Preconditions.orDefault(worth, 1.0), 0, 1e6, "worth");
+            lateShare = Preconditions.requireInRange(Preconditions.orDefault(lateShare, 0.25), 0, 1, "lateShare");
+            hold = Preconditions.orDefault(hold, TimeSpan.ms(8_000));
+            redials = Preconditions.requireInRange(Preconditions.orDefault(redials, 2), 0, 10, "redials");
         }
     }
 
     /** The directory: how late it tells of a crash or a start, and of a machine that went silent. */
-    public record Directory(Span notice, Span silentNotice) {
+    public record Directory(TimeSpan notice, TimeSpan silentNotice) {
         /** Checks and defaults. */
         public Directory {
-            notice = Check.or(notice, Span.ms(2_000));
-            silentNotice = Check.or(silentNotice, Span.ms(6_000));
+            notice = Preconditions.orDefault(notice, TimeSpan.ms(2_000));
+            silentNotice = Preconditions.orDefault(silentNotice, TimeSpan.ms(6_000));
         }
     }
 
@@ -196,14 +198,15 @@
      * @param part of the calculators, fronts or authorities that it strikes, one at least
      * @param size how bad, see the kind
      */
-    public record Trouble(TroubleKind kind, Span at, @JsonProperty("for") Span lasts, Double part, Double size) {
+    public record Trouble(
+            TroubleKind kind, TimeSpan at, @JsonProperty("for") TimeSpan lasts, Double part, Double size) {
         /** Checks and defaults. */
         public Trouble {
-            Check.need(kind, "kind");
-            Check.need(at, "at");
-            lasts = Check.or(lasts, Span.ms(10_000));
-            part = Check.within(Check.or(part, 0.1), 0, 1, "part");
-            size = Check.within(Check.or(size, 2.0), 0, 1e6, "size");
+            Preconditions.requirePresent(kind, "kind");
+            Preconditions.requirePresent(at, "at");
+            lasts = Preconditions.orDefault(lasts, TimeSpan.ms(10_000));
+            part = Preconditions.requireInRange(Preconditions.orDefault(part, 0.1), 0, 1, "part");
+            size = Preconditions.requireInRange(Preconditions.orDefault(size, 2.0), 0, 1e6, "size");
         }
     }
 }
--- a/src/main/java/damsonseam/standin/Surroundings.java
+++ b/src/main/java/damsonseam/standin/Surroundings.java
@@ -4,7 +4,7 @@
 import damsonseam.audit.World;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
-import damsonseam.config.Span;
+import damsonseam.config.TimeSpan;
 import damsonseam.directory.wire.State;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -138,16 +138,16 @@
 
     /** Settings for a front of this scenario; they are what an operator would write. */
     public FrontSettings frontSettings(int ordinal, Endpoint listen) {
-        List<FrontSettings.ClassOfCall> classes = new ArrayList<>();
+        List<FrontSettings.CallClassSettings> classes = new ArrayList<>();
         List<FrontSettings.NumberRange> numbers = new ArrayList<>();
         for (Scenario.Kind k : scenario.load().classes()) {
-            classes.add(new FrontSettings.ClassOfCall(k.name(), k.aim(), k.deadline(), k.worth(), k.lateShare()));
+            classes.add(new FrontSettings.CallClassSettings(k.name(), k.aim(), k.deadline(), k.worth(), k.lateShare()));
             numbers.add(new FrontSettings.NumberRange(k.prefix(), k.name(), k.patience()));
         }
         CalculatorSettings each = scenario.calculators().each();
         return new FrontSettings(
                 new FrontSettings.Identity(frontName(ordinal), FIRST_FRONT_CODE + ordinal, scenario.seed() + ordinal),
-                new FrontSettings.Enumeration(listen, SUFFIX, null, null),
+                new FrontSettings.EnumSettings(listen, SUFFIX, null, null),
                 classes,
                 numbers,
                 new FrontSettings.Upstream(authorityAddresses, null, null, null, null, null),
@@ -159,7 +159,7 @@
                         true,
                         null,
                         0.35,
-                        Span.ms(14_000),
+                        TimeSpan.ms(14_000),
                         each.tipMultiple(),
                         each.tipWindow(),
                         null,
--- a/src/test/java/damsonseam/config/SettingsTest.java
+++ b/src/test/java/damsonseam/config/SettingsTest.java
@@ -33,8 +33,8 @@
         FrontSettings s = Yaml.parse("f.yaml", SOUND, FrontSettings.class);
         assertEquals(1_500, s.classes().get(0).aim().ms());
         assertEquals(512, s.trunks().circuits());
-        assertEquals(0, s.plan().find("5981").callClass());
-        assertEquals(300, s.forModule(1).releaseGuard().getAsDouble());
+        assertEquals(0, s.numberPlan().find("5981").callClass());
+        assertEquals(300, s.moduleSettings(1).releaseGuard().getAsDouble());
     }
 
     @Test
--- a/src/test/java/damsonseam/front/FrontOverloadTest.java
+++ b/src/test/java/damsonseam/front/FrontOverloadTest.java
@@ -6,7 +6,7 @@
 
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
-import damsonseam.config.Span;
+import damsonseam.config.TimeSpan;
 import damsonseam.dns.CallHints;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.E164Name;
@@ -55,7 +55,7 @@
                         1,
                         new Scenario.Calculators(3, fast),
                         null,
-                        new Scenario.Directory(Span.ms(0), null),
+                        new Scenario.Directory(TimeSpan.ms(0), null),
                         null,
                         null),
                 null);
@@ -63,7 +63,7 @@
         front = FrontServer.start(
                 new FrontSettings(
                         s.front(),
-                        s.enumeration(),
+                        s.enumSettings(),
                         s.classes(),
                         s.numbers(),
                         s.upstream(),
@@ -112,7 +112,7 @@
             socket.setSoTimeout(10_000);
             // Room for all answers, as none is read before the last question is sent.
             socket.setReceiveBufferSize(4 << 20);
-            front.stallLoop(400);
+            front.pauseLoop(400);
             int each = 300;
             Map<Integer, byte[]> questions = new HashMap<>();
             for (int i = 0; i < 2 * each; i++) {
--- a/src/test/java/damsonseam/front/FrontServerTest.java
+++ b/src/test/java/damsonseam/front/FrontServerTest.java
@@ -55,7 +55,7 @@
                 1,
                 new Scenario.Calculators(3, null),
                 null,
-                new Scenario.Directory(damsonseam.config.Span.ms(0), null),
+                new Scenario.Directory(damsonseam.config.TimeSpan.ms(0), null),
                 null,
                 null);
         around = new Surroundings(scenario, null);
--- a/src/test/java/damsonseam/sim/SimFront.java
+++ b/src/test/java/damsonseam/sim/SimFront.java
@@ -7,7 +7,7 @@
 import damsonseam.Front.State;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
-import damsonseam.config.Span;
+import damsonseam.config.TimeSpan;
 import damsonseam.core.CallRecord;
 import damsonseam.core.CallTable;
 import damsonseam.core.Candidates;
@@ -114,8 +114,13 @@
     public SimFront start(String... servers) {
         FrontSettings s = settings();
         router = new Router(
-                new RouterSettings(s.forModule(3), mostCalls, FrontSettings.BEAT, RELEASE_WAIT, FrontSettings.SLACK),
-                a -> new Decide(s.forModule(3), a),
+                new RouterSettings(
+                        s.moduleSettings(3),
+                        mostCalls,
+                        FrontSettings.TICK_MS,
+                        RELEASE_WAIT,
+                        FrontSettings.ANSWER_SLACK_MS),
+                a -> new Decide(s.moduleSettings(3), a),
                 new CallTable(mostCalls, 1),
                 timers,
                 (call, number, deadline) -> {
@@ -150,7 +155,7 @@
                         router.lookedUp(at, call, candidates);
                     }
                 });
-        service = new EnumService(SUFFIX, s.plan(), router, new Transactions(200_000, 3_000), 50);
+        service = new EnumService(SUFFIX, s.numberPlan(), router, new Transactions(200_000, 3_000), 50);
         List<Pool.Server> list = new ArrayList<>();
         for (String server : servers) {
             list.add(server(server, list.size(), State.RUNNING, OptionalDouble.empty()));
@@ -165,13 +170,15 @@
     public static FrontSettings settings() {
         return new FrontSettings(
                 new FrontSettings.Identity("sim", 1, 3L),
-                new FrontSettings.Enumeration(new Endpoint("127.0.0.1", 0), "e164.example.org", null, null),
+                new FrontSettings.EnumSettings(new Endpoint("127.0.0.1", 0), "e164.example.org", null, null),
                 List.of(
-                        new FrontSettings.ClassOfCall("simulacion", Span.ms(1_500), Span.ms(9_000), 1.0, 0.25),
-                        new FrontSettings.ClassOfCall("tasacion-firma", Span.ms(1_200), Span.ms(6_000), 8.0, 0.25)),
+                        new FrontSettings.CallClassSettings(
+                                "simulacion", TimeSpan.ms(1_500), TimeSpan.ms(9_000), 1.0, 0.25),
+                        new FrontSettings.CallClassSettings(
+                                "tasacion-firma", TimeSpan.ms(1_200), TimeSpan.ms(6_000), 8.0, 0.25)),
                 List.of(
-                        new FrontSettings.NumberRange("59821", "simulacion", Span.ms(3_000)),
-                        new FrontSettings.NumberRange("59828", "tasacion-firma", Span.ms(2_200))),
+                        new FrontSettings.NumberRange("59821", "simulacion", TimeSpan.ms(3_000)),
+                        new FrontSettings.NumberRange("59828", "tasacion-firma", TimeSpan.ms(2_200))),
                 new FrontSettings.Upstream(List.of(new Endpoint("127.0.0.1", 1)), null, null, null, null, null),
                 new FrontSettings.Directory(new Endpoint("127.0.0.1", 1)),
                 null,
@@ -291,7 +298,7 @@
         while (!events.isEmpty() && events.peek().at() <= now) {
             events.poll().what().run();
         }
-        if (now - beatAt >= FrontSettings.BEAT) {
+        if (now - beatAt >= FrontSettings.TICK_MS) {
             beatAt = now;
             router.beat(now);
         }
