--- a/src/main/java/damsonseam/node/CallBook.java
+++ b/src/main/java/damsonseam/node/CallBook.java
@@ -144,9 +144,9 @@
         CallerLink caller = call.caller;
         if (said.kind() == FinalAnswer.Kind.STANDS) {
             stands(call, call.answering, now);
-            SipMessage ok = SipMessage.answer(SipMessage.OK, "OK", call.id, call.cseq, call.answer);
+            SipMessage ok = SipMessage.response(SipMessage.OK, "OK", call.id, call.cseq, call.answer);
             if (call.answerType != null) {
-                ok.with("Content-Type", call.answerType);
+                ok.addHeader("Content-Type", call.answerType);
             }
             call.answer = null;
             caller.answered(call);
@@ -165,10 +165,10 @@
         }
         caller.answered(call);
         SipMessage refusal = said.kind() == FinalAnswer.Kind.REFUSED
-                ? SipMessage.answer(TURNED_AWAY, "Service Unavailable", call.id, call.cseq)
-                : SipMessage.answer(FAILED, "Server Internal Error", call.id, call.cseq);
+                ? SipMessage.response(TURNED_AWAY, "Service Unavailable", call.id, call.cseq)
+                : SipMessage.response(FAILED, "Server Internal Error", call.id, call.cseq);
         if (said.returnAfter() >= 1) {
-            refusal.with("X-Pause", Long.toString(Math.round(said.returnAfter())));
+            refusal.addHeader("X-Pause", Long.toString(Math.round(said.returnAfter())));
         }
         caller.send(refusal, null);
     }
--- a/src/main/java/damsonseam/node/CallSettings.java
+++ b/src/main/java/damsonseam/node/CallSettings.java
@@ -74,7 +74,7 @@
     SetUp read(SipMessage invite) throws BadMessage {
         need(isId(invite.callId()), "a Call-ID of 16 hex digits");
         need(invite.cseqNumber() >= 0 && invite.cseqMethod().equals(SipMessage.INVITE), "CSeq with INVITE");
-        String target = invite.target();
+        String target = invite.requestUri();
         int at = target.indexOf('@');
         need(
                 target.startsWith(SCHEME) && at > SCHEME.length() && at <= SCHEME.length() + LONGEST_NUMBER,
--- a/src/main/java/damsonseam/node/CallerLink.java
+++ b/src/main/java/damsonseam/node/CallerLink.java
@@ -89,7 +89,7 @@
 
     /** Whether the connection has been of no use for too long. */
     boolean overdue(double now) {
-        boolean amidst = decoder.amidst();
+        boolean amidst = decoder.isMidMessage();
         double limit = !spoke || amidst ? SILENT_MS : IDLE_MS;
         // Whoever takes longer for one message than any caller waits for its answer wants none.
         boolean endless = amidst && now - amidstFrom > listener.settings().longestWait();
@@ -194,7 +194,7 @@
         if (why instanceof SipFormatException && channel.isActive()) {
             // Where the next message starts is not known: told once, then closed.
             channel.writeAndFlush(SipEncoder.encode(
-                            channel.alloc(), SipMessage.answer(BAD_REQUEST, "Bad Request", null, null)))
+                            channel.alloc(), SipMessage.response(BAD_REQUEST, "Bad Request", null, null)))
                     .addListener(ChannelFutureListener.CLOSE);
             giveUpAll();
             return;
@@ -209,7 +209,7 @@
     public void channelReadComplete(ChannelHandlerContext ctx) {
         // Part of a message counts as a word too: only when no more comes is its sender silent.
         heardAt = listener.loop().now();
-        amidstFrom = !decoder.amidst() ? Double.NaN : Double.isNaN(amidstFrom) ? heardAt : amidstFrom;
+        amidstFrom = !decoder.isMidMessage() ? Double.NaN : Double.isNaN(amidstFrom) ? heardAt : amidstFrom;
         ctx.fireChannelReadComplete();
     }
 
@@ -249,7 +249,7 @@
     }
 
     private void reply(SipMessage to, int status, String reason) {
-        send(SipMessage.answer(status, reason, to.callId(), to.cseq()), null);
+        send(SipMessage.response(status, reason, to.callId(), to.cseq()), null);
     }
 
     private void invite(SipMessage message, double now) {
@@ -353,7 +353,7 @@
         CallerLink owner = call.caller;
         owner.open.remove(call);
         listener.book().givenUp(call);
-        owner.send(SipMessage.answer(TERMINATED, "Request Terminated", call.id, call.cseq), null);
+        owner.send(SipMessage.response(TERMINATED, "Request Terminated", call.id, call.cseq), null);
     }
 
     private void bye(SipMessage message) {
--- a/src/main/java/damsonseam/node/CoordinatorClient.java
+++ b/src/main/java/damsonseam/node/CoordinatorClient.java
@@ -65,7 +65,7 @@
     }
 
     /** Applies what the configuration knows already, and connects. */
-    void start(Router router, List<ListEvent> known) {
+    void start(Router router, List<ServerListUpdate> known) {
         this.router = router;
         known.forEach(this::apply);
         watch();
@@ -86,7 +86,7 @@
     }
 
     /** The coordinator is at another address from now on; numbers go on. */
-    void move(Endpoint to, List<ListEvent> known) {
+    void move(Endpoint to, List<ServerListUpdate> known) {
         known.forEach(this::apply);
         if (!to.equals(address)) {
             LOG.atInfo()
@@ -168,7 +168,7 @@
     }
 
     /** One frame; null says that nothing is new, as of {@code number}. */
-    private void received(long of, long number, ListEvent event) {
+    private void received(long of, long number, ServerListUpdate event) {
         heardAt = loop.now();
         if (event != null ? apply(event) : number <= router.pool().version() || number <= missed) {
             backoff = FIRST_BACKOFF_MS;
@@ -180,7 +180,7 @@
     }
 
     /** Events that were had already are passed over; a gap asks again from the last number had. */
-    private boolean apply(ListEvent event) {
+    private boolean apply(ServerListUpdate event) {
         if (event.number() <= router.pool().version()) {
             return true;
         }
@@ -197,7 +197,7 @@
     }
 
     /** Reads one frame behind its length and number; null where it holds nothing new. */
-    static ListEvent read(long number, ByteBuf frame) {
+    static ServerListUpdate read(long number, ByteBuf frame) {
         int kind = frame.readUnsignedByte();
         if (kind == 0) {
             return null;
@@ -206,7 +206,7 @@
             throw new IllegalArgumentException(
                     "a frame of kind " + kind + " with " + frame.readableBytes() + " octets of records");
         }
-        List<ListEvent.Entry> entries = new ArrayList<>();
+        List<ServerListUpdate.Entry> entries = new ArrayList<>();
         while (frame.isReadable()) {
             String id = String.format("s-%08x", frame.readInt());
             String host = frame.readUnsignedByte() + "." + frame.readUnsignedByte() + "." + frame.readUnsignedByte()
@@ -219,14 +219,14 @@
             frame.skipBytes(2); // Zone and kind: the module has no use for them.
             int cell = frame.readUnsignedShort();
             frame.skipBytes(4); // Weight.
-            entries.add(new ListEvent.Entry(
+            entries.add(new ServerListUpdate.Entry(
                     id,
                     host + ":" + port,
                     cell,
                     new State[] {State.RUNNING, State.DRAINING, State.GONE}[state],
                     frame.readLong()));
         }
-        return new ListEvent(number, kind == 1, entries);
+        return new ServerListUpdate(number, kind == 1, entries);
     }
 
     void close() {
--- a/src/main/java/damsonseam/node/NodeConfig.java
+++ b/src/main/java/damsonseam/node/NodeConfig.java
@@ -21,20 +21,20 @@
  * @param name the node's name, the same after a restart
  * @param listen where callers connect
  * @param seed for random numbers, new with each start
- * @param sockets file descriptors that the process may hold
+ * @param maxSockets file descriptors that the process may hold
  * @param memoryMb memory beyond which the platform kills the process, in MB
  * @param coordinator where the changes of the list come from
- * @param known the changes so far, by rising numbers
+ * @param knownUpdates the changes so far, by rising numbers
  * @param settings what the simulator tells an instance at its start
  */
 public record NodeConfig(
         String name,
         Endpoint listen,
         long seed,
-        int sockets,
+        int maxSockets,
         int memoryMb,
         Endpoint coordinator,
-        List<ListEvent> known,
+        List<ServerListUpdate> knownUpdates,
         StartSettings settings) {
     /** Octets of the file at the most: it is read whole. */
     private static final int MOST = 4 << 20;
@@ -48,14 +48,14 @@
             if (Files.size(file) > MOST) {
                 throw new SettingsException(file + ": more than " + MOST + " octets");
             }
-            return of(new ObjectMapper().readTree(Files.readAllBytes(file)));
+            return fromJson(new ObjectMapper().readTree(Files.readAllBytes(file)));
         } catch (IOException | IllegalArgumentException e) {
             throw new SettingsException(file + ": "
                     + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
         }
     }
 
-    static NodeConfig of(JsonNode root) {
+    static NodeConfig fromJson(JsonNode root) {
         JsonNode limits = root.path("limits");
         Map<String, String> paths = new HashMap<>();
         flatten("", need(root, "settings"), paths);
@@ -98,11 +98,11 @@
         }
     }
 
-    private static List<ListEvent> events(JsonNode updates) {
-        List<ListEvent> events = new ArrayList<>();
+    private static List<ServerListUpdate> events(JsonNode updates) {
+        List<ServerListUpdate> events = new ArrayList<>();
         for (JsonNode update : updates) {
             JsonNode list = need(update, "endpoints");
-            List<ListEvent.Entry> entries = new ArrayList<>();
+            List<ServerListUpdate.Entry> entries = new ArrayList<>();
             for (JsonNode m : list.path("members")) {
                 State state =
                         switch (need(m, "phase").asText()) {
@@ -113,14 +113,14 @@
                                 throw new IllegalArgumentException("a member's phase is ready, draining or gone, not "
                                         + m.path("phase").asText());
                         };
-                entries.add(new ListEvent.Entry(
+                entries.add(new ServerListUpdate.Entry(
                         need(m, "id").asText(),
                         m.path("host_port").asText(""),
                         m.path("cell").asInt(-1),
                         state,
                         m.path("up_since_ms").asLong(0)));
             }
-            events.add(new ListEvent(
+            events.add(new ServerListUpdate(
                     need(update, "index").asLong(), list.path("complete").asBoolean(), entries));
         }
         return events;
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -73,7 +73,7 @@
         Settings module = config.settings().settings(config.seed());
         classes = module.classes();
         CallSettings calls = new CallSettings(config.settings());
-        int links = Math.min(MOST_SERVER_CONNECTIONS, config.sockets() / SERVERS_SHARE);
+        int links = Math.min(MOST_SERVER_CONNECTIONS, config.maxSockets() / SERVERS_SHARE);
         servers = new ServerLinks(
                 loop,
                 book,
@@ -83,7 +83,7 @@
                 config.seed(),
                 module.mayProbe().orElse(false));
         // Callers may take a third of the descriptors; all that is left is room for those that only knock.
-        callers = new CallerListener(loop, calls, book, servers, config.sockets() - OWN_DESCRIPTORS, this::ready);
+        callers = new CallerListener(loop, calls, book, servers, config.maxSockets() - OWN_DESCRIPTORS, this::ready);
         coordinator = new CoordinatorClient(loop, servers, config.coordinator(), config.seed());
         int most = Math.min(
                 config.settings().mostHeld().orElse(MOST_HELD),
@@ -119,7 +119,7 @@
             releases.start(router, callers);
             servers.start(router);
             callers.start(router);
-            coordinator.start(router, config.known());
+            coordinator.start(router, config.knownUpdates());
             loop.start(this::beat, () -> router.settle(loop.now()));
             loop.kick();
             return null;
@@ -128,7 +128,7 @@
         LOG.atInfo()
                 .addKeyValue("node", config.name())
                 .addKeyValue("listen", callers.address().toString())
-                .addKeyValue("servers", config.known().size())
+                .addKeyValue("servers", config.knownUpdates().size())
                 .log("front node started");
     }
 
@@ -154,7 +154,7 @@
     public void reload(NodeConfig news) {
         if (!loop.eventLoop().isShuttingDown()) {
             call(() -> {
-                coordinator.move(news.coordinator(), news.known());
+                coordinator.move(news.coordinator(), news.knownUpdates());
                 return null;
             });
         }
--- a/src/main/java/damsonseam/node/Releases.java
+++ b/src/main/java/damsonseam/node/Releases.java
@@ -115,7 +115,7 @@
         release.saidAt = loop.now();
         on.send(
                 SipMessage.request(SipMessage.BYE, release.call.target, release.call.id, 2)
-                        .with(SipHeaders.REASON, "Q.850;cause=" + release.cause),
+                        .addHeader(SipHeaders.REASON, "Q.850;cause=" + release.cause),
                 null);
     }
 
--- a/src/main/java/damsonseam/node/ServerConnection.java
+++ b/src/main/java/damsonseam/node/ServerConnection.java
@@ -56,7 +56,7 @@
 
     /** Whether a message has been stuck half way for so long that its rest will not come. */
     boolean stuck(double now, double limit) {
-        return decoder.amidst() && now - heardAt > limit;
+        return decoder.isMidMessage() && now - heardAt > limit;
     }
 
     /** Sends a message with what else this turn brings; {@code sent} hears whether the system took it. */
--- a/src/main/java/damsonseam/node/ServerLink.java
+++ b/src/main/java/damsonseam/node/ServerLink.java
@@ -407,10 +407,10 @@
         attempt.sentAt = now();
         NodeCall of = attempt.of;
         SipMessage invite = SipMessage.request(SipMessage.INVITE, of.target, of.id, attempt.number + 1, of.offer)
-                .with("X-Cos", of.className)
-                .with("X-Timer-Ms", Long.toString(Math.max(1, (long) (attempt.until - now()))));
+                .addHeader("X-Cos", of.className)
+                .addHeader("X-Timer-Ms", Long.toString(Math.max(1, (long) (attempt.until - now()))));
         if (of.legs != null) {
-            invite.with("X-Legs", of.legs);
+            invite.addHeader("X-Legs", of.legs);
         }
         attempt.on.send(invite, null);
     }
@@ -468,7 +468,8 @@
     /** Sends the release of a call that stands. */
     void bye(String id, String target) {
         LOG.atDebug().addKeyValue("id", id).addKeyValue("server", server.id()).log("released by the node");
-        SipMessage bye = SipMessage.request(SipMessage.BYE, target, id, 2).with(SipHeaders.REASON, "Q.850;cause=16");
+        SipMessage bye =
+                SipMessage.request(SipMessage.BYE, target, id, 2).addHeader(SipHeaders.REASON, "Q.850;cause=16");
         ServerConnection on = best(true);
         if (on != null) {
             on.send(bye, null);
@@ -502,7 +503,7 @@
         } else if (message.method().equals(SipMessage.NOTIFY)) {
             router.probed(now, server.id(), false, true, 0, report);
         } else if (message.method().equals(SipMessage.BYE)) {
-            on.send(SipMessage.answer(SipMessage.OK, "OK", message.callId(), message.cseq()), null);
+            on.send(SipMessage.response(SipMessage.OK, "OK", message.callId(), message.cseq()), null);
             released(on, message, report);
         }
         shared.loop().kick();
@@ -524,7 +525,7 @@
     }
 
     private void answer(ServerConnection on, SipMessage message, Report report, double now) {
-        if (!message.isFinal()) {
+        if (!message.isFinalResponse()) {
             return;
         }
         if (message.cseqMethod().equals(SipMessage.OPTIONS)) {
--- a/src/main/java/damsonseam/node/ListEvent.java
+++ b/src/main/java/damsonseam/node/ServerListUpdate.java
@@ -13,7 +13,7 @@
  * @param full whether it holds the whole list
  * @param entries the servers of the list, or those that changed
  */
-record ListEvent(long number, boolean full, List<Entry> entries) {
+record ServerListUpdate(long number, boolean full, List<Entry> entries) {
 
     /**
      * One server.
--- a/src/main/java/damsonseam/sip/SipDecoder.java
+++ b/src/main/java/damsonseam/sip/SipDecoder.java
@@ -8,19 +8,18 @@
 import java.util.List;
 
 /**
- * Cuts the octets of one connection into messages. The first line, each header and Content-Length are checked as
- * soon as they are there, and before anything of the body is kept; a message is at most {@link #MOST} octets, so
- * that no sender makes a connection hold more than that and one read.
+ * Splits the byte stream of one TCP connection into SIP messages. The start line, each header and Content-Length are
+ * validated as soon as they arrive and before any of the body is kept. A message has at most
+ * {@link #MAX_MESSAGE_BYTES} bytes, so a connection never buffers more than that and one read.
  *
- * <p>Own code on Netty's {@link ByteToMessageDecoder}. Netty's {@code HttpObjectDecoder}, which its RTSP codec
- * builds on, was weighed: it takes chunked and close-delimited bodies, which SIP has not, skips what it calls
- * control characters before a first line without a bound of its own, and aggregates in a second handler; what it
- * saves is the loop over header lines below. A SIP stack brings transactions and timers of its own, beside the
- * core's.
+ * <p>Builds on Netty's {@link ByteToMessageDecoder} rather than on {@code HttpObjectDecoder}, the base of Netty's RTSP
+ * codec: that one accepts chunked and close-delimited bodies, which SIP does not have, skips control characters before
+ * the start line without a limit of its own, and needs a second handler for aggregation; it would save only the loop
+ * over header lines below. A full SIP stack would bring its own transactions and timers beside the core's.
  */
 public final class SipDecoder extends ByteToMessageDecoder {
     /** Octets of one message at most. */
-    public static final int MOST = 16 * 1024;
+    public static final int MAX_MESSAGE_BYTES = 16 * 1024;
 
     private static final String VERSION = "SIP/2.0";
     private static final int LONGEST_TOKEN = 64;
@@ -37,7 +36,7 @@
     }
 
     /** Whether part of a message has been read. */
-    public boolean amidst() {
+    public boolean isMidMessage() {
         return head != null || actualReadableBytes() > 0;
     }
 
@@ -66,12 +65,12 @@
         int end = in.indexOf(in.readerIndex() + scanned, in.writerIndex(), (byte) '\n');
         if (end < 0) {
             scanned = in.readableBytes();
-            check(headLength + scanned < MOST, "a line or head without an end");
+            check(headLength + scanned < MAX_MESSAGE_BYTES, "a line or head without an end");
             return false;
         }
         int length = end - in.readerIndex();
         headLength += length + 1;
-        check(headLength <= MOST, "a head of more than " + MOST + " octets");
+        check(headLength <= MAX_MESSAGE_BYTES, "a head of more than " + MAX_MESSAGE_BYTES + " octets");
         check(length > 0 && in.getByte(end - 1) == '\r', "a line that does not end in CR LF");
         String line = in.toString(in.readerIndex(), length - 1, StandardCharsets.UTF_8);
         in.skipBytes(length + 1);
@@ -125,7 +124,7 @@
         check(colon > 0, "a header without a colon");
         String name = line.substring(0, colon).stripTrailing();
         check(token(name), "a header without a name");
-        check(headers.size() < SipHeaders.MOST, "more than " + SipHeaders.MOST + " headers");
+        check(headers.size() < SipHeaders.MAX_HEADERS, "more than " + SipHeaders.MAX_HEADERS + " headers");
         String value = line.substring(colon + 1).strip();
         if (SipHeaders.longForm(name).equalsIgnoreCase(SipHeaders.CONTENT_LENGTH)) {
             contentLength(value);
@@ -139,7 +138,7 @@
                 !value.isEmpty() && value.length() <= 9 && value.chars().allMatch(SipDecoder::digit),
                 "a Content-Length that is no length");
         int length = Integer.parseInt(value);
-        check(length <= MOST, "a body of more than " + MOST + " octets");
+        check(length <= MAX_MESSAGE_BYTES, "a body of more than " + MAX_MESSAGE_BYTES + " octets");
         return length;
     }
 
@@ -153,7 +152,7 @@
                         && !headers.repeats(SipHeaders.CSEQ),
                 "a header twice that stands once");
         bodyLength = contentLength(length);
-        check(headLength + bodyLength <= MOST, "a message of more than " + MOST + " octets");
+        check(headLength + bodyLength <= MAX_MESSAGE_BYTES, "a message of more than " + MAX_MESSAGE_BYTES + " octets");
         scanned = -1;
     }
 
@@ -163,7 +162,8 @@
         }
         byte[] body = ByteBufUtil.getBytes(in, in.readerIndex(), bodyLength);
         in.skipBytes(bodyLength);
-        out.add(new SipMessage(head.method(), head.target(), head.status(), head.reason(), head.headers(), body));
+        out.add(new SipMessage(
+                head.method(), head.requestUri(), head.status(), head.reasonPhrase(), head.headers(), body));
         head = null;
         headLength = 0;
         scanned = 0;
--- a/src/main/java/damsonseam/sip/SipEncoder.java
+++ b/src/main/java/damsonseam/sip/SipEncoder.java
@@ -15,12 +15,15 @@
         ByteBuf out = allocator.buffer(USUAL + message.body().length);
         StringBuilder text = new StringBuilder(USUAL);
         if (message.isRequest()) {
-            text.append(message.method()).append(' ').append(message.target()).append(" SIP/2.0\r\n");
+            text.append(message.method())
+                    .append(' ')
+                    .append(message.requestUri())
+                    .append(" SIP/2.0\r\n");
         } else {
             text.append("SIP/2.0 ")
                     .append(message.status())
                     .append(' ')
-                    .append(message.reason())
+                    .append(message.reasonPhrase())
                     .append("\r\n");
         }
         SipHeaders headers = message.headers();
--- a/src/main/java/damsonseam/sip/SipHeaders.java
+++ b/src/main/java/damsonseam/sip/SipHeaders.java
@@ -20,7 +20,7 @@
     /** Why a call is released (RFC 3326). */
     public static final String REASON = "Reason";
     /** Headers of one message at most. */
-    static final int MOST = 64;
+    static final int MAX_HEADERS = 64;
 
     private final List<String> names = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
--- a/src/main/java/damsonseam/sip/SipMessage.java
+++ b/src/main/java/damsonseam/sip/SipMessage.java
@@ -5,13 +5,14 @@
  * form by the decoder, not for sense.
  *
  * @param method of a request, else the empty string
- * @param target the address in a request's first line, else the empty string
+ * @param requestUri the address in a request's first line, else the empty string
  * @param status of an answer, 100 to 699; 0 marks a request
- * @param reason the phrase of an answer's first line
+ * @param reasonPhrase the phrase of an answer's first line
  * @param headers all but Content-Length, which the encoder writes
  * @param body the octets after the headers, never null
  */
-public record SipMessage(String method, String target, int status, String reason, SipHeaders headers, byte[] body) {
+public record SipMessage(
+        String method, String requestUri, int status, String reasonPhrase, SipHeaders headers, byte[] body) {
     /** A set-up. */
     public static final String INVITE = "INVITE";
     /** The set-up's final answer was heard. */
@@ -27,35 +28,36 @@
     /** The call stands. */
     public static final int OK = 200;
 
-    private static final byte[] NO_BODY = {};
-    private static final int LEAST_FINAL = 200;
+    private static final byte[] EMPTY_BODY = {};
+    private static final int MIN_FINAL_STATUS = 200;
 
     /** A request without a body. */
-    public static SipMessage request(String method, String target, String callId, long number) {
-        return request(method, target, callId, number, NO_BODY);
+    public static SipMessage request(String method, String requestUri, String callId, long sequenceNumber) {
+        return request(method, requestUri, callId, sequenceNumber, EMPTY_BODY);
     }
 
     /** A request with its body. */
-    public static SipMessage request(String method, String target, String callId, long number, byte[] body) {
+    public static SipMessage request(
+            String method, String requestUri, String callId, long sequenceNumber, byte[] body) {
         return new SipMessage(
                 method,
-                target,
+                requestUri,
                 0,
                 "",
                 new SipHeaders()
                         .add(SipHeaders.VIA, "SIP/2.0/TCP front")
                         .add(SipHeaders.CALL_ID, callId)
-                        .add(SipHeaders.CSEQ, number + " " + method),
+                        .add(SipHeaders.CSEQ, sequenceNumber + " " + method),
                 body);
     }
 
     /** An answer without a body. */
-    public static SipMessage answer(int status, String reason, String callId, String cseq) {
-        return answer(status, reason, callId, cseq, NO_BODY);
+    public static SipMessage response(int status, String reasonPhrase, String callId, String cseq) {
+        return response(status, reasonPhrase, callId, cseq, EMPTY_BODY);
     }
 
     /** An answer to the request with this id and CSeq; either may be null where the request had none. */
-    public static SipMessage answer(int status, String reason, String callId, String cseq, byte[] body) {
+    public static SipMessage response(int status, String reasonPhrase, String callId, String cseq, byte[] body) {
         SipHeaders headers = new SipHeaders().add(SipHeaders.VIA, "SIP/2.0/TCP front");
         if (callId != null) {
             headers.add(SipHeaders.CALL_ID, callId);
@@ -63,11 +65,11 @@
         if (cseq != null) {
             headers.add(SipHeaders.CSEQ, cseq);
         }
-        return new SipMessage("", "", status, reason, headers, body);
+        return new SipMessage("", "", status, reasonPhrase, headers, body);
     }
 
     /** Adds a header; returns this. */
-    public SipMessage with(String name, String value) {
+    public SipMessage addHeader(String name, String value) {
         headers.add(name, value);
         return this;
     }
@@ -78,8 +80,8 @@
     }
 
     /** Whether this is an answer that ends its transaction. */
-    public boolean isFinal() {
-        return status >= LEAST_FINAL;
+    public boolean isFinalResponse() {
+        return status >= MIN_FINAL_STATUS;
     }
 
     /** The id of the call, or null. */
--- a/src/main/java/damsonseam/standin/Rehearsal.java
+++ b/src/main/java/damsonseam/standin/Rehearsal.java
@@ -79,9 +79,9 @@
                         String.format("%016x", call + 1L),
                         1,
                         "description\r\n".getBytes(StandardCharsets.UTF_8))
-                .with("X-Cos", "plain")
-                .with("X-Timer-Ms", "5000")
-                .with("X-Legs", "dest:0;width:1;via:-1");
+                .addHeader("X-Cos", "plain")
+                .addHeader("X-Timer-Ms", "5000")
+                .addHeader("X-Legs", "dest:0;width:1;via:-1");
     }
 
     private static String config(int serverPort) {
--- a/src/main/java/damsonseam/standin/SipServer.java
+++ b/src/main/java/damsonseam/standin/SipServer.java
@@ -52,26 +52,29 @@
             send(
                     ctx,
                     SipMessage.request(SipMessage.NOTIFY, "sip:group@net", "0000000000000001", 1)
-                            .with("X-Occupancy", "spare:40;total:40"));
+                            .addHeader("X-Occupancy", "spare:40;total:40"));
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, SipMessage message) {
             switch (message.method()) {
                 case SipMessage.INVITE -> {
-                    send(ctx, SipMessage.answer(SipMessage.OK, "OK", message.callId(), message.cseq(), message.body()));
+                    send(
+                            ctx,
+                            SipMessage.response(SipMessage.OK, "OK", message.callId(), message.cseq(), message.body()));
                     ctx.executor()
                             .schedule(
                                     () -> send(
                                             ctx,
-                                            SipMessage.request(SipMessage.BYE, message.target(), message.callId(), 2)
-                                                    .with(SipHeaders.REASON, "Q.850;cause=16")
-                                                    .with("X-Occupancy", "spare:40;total:40")),
+                                            SipMessage.request(
+                                                            SipMessage.BYE, message.requestUri(), message.callId(), 2)
+                                                    .addHeader(SipHeaders.REASON, "Q.850;cause=16")
+                                                    .addHeader("X-Occupancy", "spare:40;total:40")),
                                     HOLD_MS,
                                     TimeUnit.MILLISECONDS);
                 }
                 case SipMessage.OPTIONS ->
-                    send(ctx, SipMessage.answer(SipMessage.OK, "OK", message.callId(), message.cseq()));
+                    send(ctx, SipMessage.response(SipMessage.OK, "OK", message.callId(), message.cseq()));
                 default -> {}
             }
         }
--- a/src/test/java/damsonseam/node/CallerLeavesTest.java
+++ b/src/test/java/damsonseam/node/CallerLeavesTest.java
@@ -57,7 +57,7 @@
     @Test
     void byACancelOnTheSameConnection() throws Exception {
         leavesWhileTheLoopStands((caller, invite) ->
-                caller.send(SipMessage.request(SipMessage.CANCEL, invite.target(), invite.callId(), 1)));
+                caller.send(SipMessage.request(SipMessage.CANCEL, invite.requestUri(), invite.callId(), 1)));
     }
 
     @Test
@@ -118,7 +118,7 @@
             try (AutoCloseable paused = rig.pause()) {
                 assertNotNull(paused);
                 // The first attempt breaks, its guard runs out and the caller leaves before the loop turns again.
-                server.send(SipMessage.answer(504, "Reset", first.callId(), first.cseq()));
+                server.send(SipMessage.response(504, "Reset", first.callId(), first.cseq()));
                 Thread.sleep(NodeRig.GUARD_MS + 50);
                 caller.close();
             }
--- a/src/test/java/damsonseam/node/NodeRig.java
+++ b/src/test/java/damsonseam/node/NodeRig.java
@@ -46,7 +46,7 @@
     NodeRig(List<ServerSocket> before, UnaryOperator<String> changes) throws Exception {
         servers.addAll(before);
         this.changes = changes;
-        node = NodeServer.start(NodeConfig.of(new ObjectMapper().readTree(config(coordinator.getLocalPort()))));
+        node = NodeServer.start(NodeConfig.fromJson(new ObjectMapper().readTree(config(coordinator.getLocalPort()))));
     }
 
     static List<ServerSocket> listening(int count) throws IOException {
@@ -63,7 +63,7 @@
 
     /** The configuration with the coordinator at another port. */
     NodeConfig configuration(int coordinatorPort) throws Exception {
-        return NodeConfig.of(new ObjectMapper().readTree(config(coordinatorPort)));
+        return NodeConfig.fromJson(new ObjectMapper().readTree(config(coordinatorPort)));
     }
 
     String config(int coordinatorPort) {
@@ -173,7 +173,7 @@
     SipSocket accept(int server) throws Exception {
         SipSocket link = keep(new SipSocket(servers.get(server).accept()));
         link.send(SipMessage.request(SipMessage.NOTIFY, "sip:group@net", "0000000000000001", 1)
-                .with("X-Occupancy", "spare:30;total:40"));
+                .addHeader("X-Occupancy", "spare:30;total:40"));
         return link;
     }
 
@@ -193,18 +193,18 @@
 
     static SipMessage invite(String id, String legs, String timer) {
         return SipMessage.request(SipMessage.INVITE, "sip:" + NUMBER + "@net", id, 1, OFFER)
-                .with("X-Cos", "dear")
-                .with("X-Timer-Ms", timer)
-                .with("X-Legs", legs);
+                .addHeader("X-Cos", "dear")
+                .addHeader("X-Timer-Ms", timer)
+                .addHeader("X-Legs", legs);
     }
 
     static SipMessage stands(SipMessage invite) {
-        return SipMessage.answer(200, "OK", invite.callId(), invite.cseq(), ANSWER);
+        return SipMessage.response(200, "OK", invite.callId(), invite.cseq(), ANSWER);
     }
 
     static SipMessage bye(String id, int cause) {
         return SipMessage.request(SipMessage.BYE, "sip:" + NUMBER + "@net", id, 2)
-                .with("Reason", "Q.850;cause=" + cause);
+                .addHeader("Reason", "Q.850;cause=" + cause);
     }
 
     /** The coordinator's end of one connection. */
--- a/src/test/java/damsonseam/node/NodeServerTest.java
+++ b/src/test/java/damsonseam/node/NodeServerTest.java
@@ -30,7 +30,7 @@
         caller.send(invite);
         server.send(NodeRig.stands(server.next("INVITE")));
         assertEquals(200, caller.next().status());
-        caller.send(SipMessage.request(SipMessage.ACK, invite.target(), invite.callId(), 1));
+        caller.send(SipMessage.request(SipMessage.ACK, invite.requestUri(), invite.callId(), 1));
         assertNotNull(server.next("ACK"));
         return new Standing(caller, server, invite);
     }
@@ -49,12 +49,12 @@
             caller.send(invite);
             SipMessage seen = server.next("INVITE");
             assertEquals(invite.callId(), seen.callId());
-            assertEquals(invite.target(), seen.target());
+            assertEquals(invite.requestUri(), seen.requestUri());
             assertEquals("dear", seen.headers().get("X-Cos"));
             assertArrayEquals(NodeRig.OFFER, seen.body());
             long left = Long.parseLong(seen.headers().get("X-Timer-Ms"));
             assertTrue(left > 1_000 && left < 1_500, "left " + left);
-            server.send(SipMessage.answer(180, "Ringing", seen.callId(), seen.cseq()));
+            server.send(SipMessage.response(180, "Ringing", seen.callId(), seen.cseq()));
             server.send(NodeRig.stands(seen));
             SipMessage answer = caller.next();
             assertEquals(200, answer.status());
@@ -79,8 +79,8 @@
             Thread feeder = new Thread(() -> {
                 try {
                     for (SipMessage m = server.next("INVITE"); m != null; m = server.next("INVITE")) {
-                        server.send(SipMessage.answer(503, "Full", m.callId(), m.cseq())
-                                .with("X-Diagnosis", "cpu_full"));
+                        server.send(SipMessage.response(503, "Full", m.callId(), m.cseq())
+                                .addHeader("X-Diagnosis", "cpu_full"));
                     }
                 } catch (Exception e) {
                     // The node is closed.
@@ -117,7 +117,7 @@
             SipMessage invite = rig.invite();
             caller.send(invite);
             SipMessage out = server.next("INVITE");
-            caller.send(SipMessage.request(SipMessage.CANCEL, invite.target(), invite.callId(), 1));
+            caller.send(SipMessage.request(SipMessage.CANCEL, invite.requestUri(), invite.callId(), 1));
             assertEquals(487, caller.next().status());
             assertEquals(invite.callId(), server.next("CANCEL").callId());
             // The answer crossed the give-up: nobody is at the call, and it is released.
@@ -132,7 +132,7 @@
     void cancelThatCrossesTheAnswerEndsTheCallOnBothSides() throws Exception {
         try (NodeRig rig = new NodeRig(1)) {
             Standing s = standing(rig);
-            s.caller.send(SipMessage.request(SipMessage.CANCEL, s.invite.target(), s.invite.callId(), 1));
+            s.caller.send(SipMessage.request(SipMessage.CANCEL, s.invite.requestUri(), s.invite.callId(), 1));
             assertEquals(s.invite.callId(), s.server.next("BYE").callId());
             assertEquals(SipMessage.BYE, s.caller.next().method());
         }
@@ -344,7 +344,7 @@
             SipMessage lost = rig.invite();
             caller.send(lost);
             assertNotNull(dead.next("INVITE"));
-            caller.send(SipMessage.request(SipMessage.CANCEL, lost.target(), lost.callId(), 1));
+            caller.send(SipMessage.request(SipMessage.CANCEL, lost.requestUri(), lost.callId(), 1));
             assertEquals(487, caller.next().status());
             SipMessage next = rig.invite();
             caller.send(next);
@@ -400,8 +400,8 @@
         try (NodeRig rig = new NodeRig(1)) {
             Standing s = standing(rig);
             s.server.send(NodeRig.stands(s.invite));
-            s.server.send(SipMessage.answer(200, "OK", NodeRig.id(999), "1 INVITE", NodeRig.ANSWER));
-            s.server.send(SipMessage.answer(503, "Full", s.invite.callId(), "1 INVITE"));
+            s.server.send(SipMessage.response(200, "OK", NodeRig.id(999), "1 INVITE", NodeRig.ANSWER));
+            s.server.send(SipMessage.response(503, "Full", s.invite.callId(), "1 INVITE"));
             assertTrue(s.caller.quiet(150));
             s.server.send(NodeRig.bye(s.invite.callId(), 16));
             assertEquals(16, cause(s.caller.next()));
@@ -457,7 +457,7 @@
             old.frame(2, 2, 0, rig.servers.get(0).getLocalPort(), 0);
             Awaitility.await().until(() -> rig.node.listVersion() == 2);
             Standing s = standing(rig);
-            rig.node.reload(NodeConfig.of(new ObjectMapper().readTree(rig.config(moved.getLocalPort()))));
+            rig.node.reload(NodeConfig.fromJson(new ObjectMapper().readTree(rig.config(moved.getLocalPort()))));
             NodeRig.Coordinator at = rig.keep(new NodeRig.Coordinator(moved.accept()));
             assertEquals(2, at.from);
             assertTrue(s.caller.quiet(50));
@@ -607,7 +607,7 @@
             SipMessage mine = rig.invite();
             thief.send(mine);
             server.next("INVITE");
-            thief.send(new SipMessage(mine.method(), mine.target(), 0, "", mine.headers(), NodeRig.ANSWER));
+            thief.send(new SipMessage(mine.method(), mine.requestUri(), 0, "", mine.headers(), NodeRig.ANSWER));
             assertEquals(482, thief.next().status());
             assertEquals(mine.callId(), server.next("CANCEL").callId());
             assertTrue(thief.quiet(100));
@@ -622,7 +622,7 @@
             for (int i = 0; i < 300; i++) {
                 SipMessage invite = rig.invite();
                 caller.send(invite);
-                caller.send(SipMessage.request(SipMessage.CANCEL, invite.target(), invite.callId(), 1));
+                caller.send(SipMessage.request(SipMessage.CANCEL, invite.requestUri(), invite.callId(), 1));
             }
             for (int i = 0; i < 300; i++) {
                 assertTrue(caller.next().status() >= 400);
--- a/src/test/java/damsonseam/node/ReleaseCrossingsTest.java
+++ b/src/test/java/damsonseam/node/ReleaseCrossingsTest.java
@@ -15,7 +15,7 @@
 class ReleaseCrossingsTest {
 
     private static void proves(SipSocket caller, SipMessage bye) throws Exception {
-        caller.send(SipMessage.answer(200, "OK", bye.callId(), bye.cseq()));
+        caller.send(SipMessage.response(200, "OK", bye.callId(), bye.cseq()));
     }
 
     /** A caller answers the release of one call: from now on the node waits for such proofs. */
@@ -160,7 +160,7 @@
                 assertNotNull(paused);
                 server.send(NodeRig.stands(seen));
                 server.send(NodeRig.bye(invite.callId(), 16));
-                caller.send(SipMessage.request(SipMessage.CANCEL, invite.target(), invite.callId(), 1));
+                caller.send(SipMessage.request(SipMessage.CANCEL, invite.requestUri(), invite.callId(), 1));
             }
             rig.empty();
         }
--- a/src/test/java/damsonseam/node/ServerCrossingsTest.java
+++ b/src/test/java/damsonseam/node/ServerCrossingsTest.java
@@ -76,7 +76,7 @@
             Thread fails = new Thread(() -> {
                 try {
                     for (SipMessage m = server.next("OPTIONS"); m != null; m = server.next("OPTIONS")) {
-                        server.send(SipMessage.answer(503, "Service Unavailable", m.callId(), m.cseq()));
+                        server.send(SipMessage.response(503, "Service Unavailable", m.callId(), m.cseq()));
                     }
                 } catch (IOException e) {
                     // Closed by the node, as it should be.
@@ -103,7 +103,7 @@
             SipMessage out = first.next("INVITE");
             s.caller().send(rig.invite());
             SipSocket second = rig.accept(0);
-            first.send(SipMessage.answer(503, "Full", out.callId(), out.cseq()));
+            first.send(SipMessage.response(503, "Full", out.callId(), out.cseq()));
             long from = System.nanoTime();
             coordinator.frame(2, 2, 0, rig.servers.get(0).getLocalPort(), 2);
             assertNotNull(first.next("OPTIONS"));
--- a/src/test/java/damsonseam/node/ShutdownTest.java
+++ b/src/test/java/damsonseam/node/ShutdownTest.java
@@ -53,7 +53,7 @@
             assertTrue(caller.endsInOrder());
             assertEquals(200, caller.had().status());
             // What a caller says behind the node's last word would be met by a reset, which destroys what is unread.
-            SipMessage ack = SipMessage.request(SipMessage.ACK, invite.target(), invite.callId(), 1);
+            SipMessage ack = SipMessage.request(SipMessage.ACK, invite.requestUri(), invite.callId(), 1);
             long until = System.nanoTime() + 60_000_000;
             while (System.nanoTime() < until) {
                 caller.send(ack);
--- a/src/test/java/damsonseam/sip/SipDecoderTest.java
+++ b/src/test/java/damsonseam/sip/SipDecoderTest.java
@@ -50,7 +50,7 @@
         assertEquals(2, read.size());
         SipMessage invite = read.get(0);
         assertTrue(invite.isRequest());
-        assertEquals("sip:7f3a9c21e0b4d655@net", invite.target());
+        assertEquals("sip:7f3a9c21e0b4d655@net", invite.requestUri());
         assertEquals("9b1f03aa5c7e2d41", invite.callId());
         assertEquals(1, invite.cseqNumber());
         assertEquals("INVITE", invite.cseqMethod());
@@ -146,8 +146,8 @@
     void whatIsWrittenReadsBackTheSame() {
         byte[] body = {0, 13, 10, -1, 13, 10, 13, 10, 7};
         SipMessage sent = SipMessage.request(SipMessage.INVITE, "sip:1@net", "00000000000000ff", 3, body)
-                .with("X-Timer-Ms", "1500")
-                .with("Content-Length", "77");
+                .addHeader("X-Timer-Ms", "1500")
+                .addHeader("Content-Length", "77");
         EmbeddedChannel channel = new EmbeddedChannel(new SipDecoder());
         channel.writeInbound(SipEncoder.encode(UnpooledByteBufAllocator.DEFAULT, sent));
         SipMessage read = channel.readInbound();
@@ -160,9 +160,9 @@
 
     @Test
     void cseqThatCanNotBeReadIsNone() {
-        SipMessage odd = SipMessage.answer(200, "OK", "1", "x INVITE");
+        SipMessage odd = SipMessage.response(200, "OK", "1", "x INVITE");
         assertEquals(-1, odd.cseqNumber());
         assertEquals("INVITE", odd.cseqMethod());
-        assertEquals("", SipMessage.answer(200, "OK", "1", null).cseqMethod());
+        assertEquals("", SipMessage.response(200, "OK", "1", null).cseqMethod());
     }
 }
