--- /dev/null
+++ b/src/main/java/damsonseam/node/CallerConnection.java
@@ -0,0 +1,384 @@
+package damsonseam.node;
+
+import damsonseam.node.InviteParser.InvalidInviteException;
+import damsonseam.node.InviteParser.SetUpRequest;
+import damsonseam.sip.SipDecoder;
+import damsonseam.sip.SipEncoder;
+import damsonseam.sip.SipFormatException;
+import damsonseam.sip.SipMessage;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.channel.socket.SocketChannel;
+import io.netty.handler.codec.DecoderException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashSet;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** One connection from a caller: reads what it asks and owes it the answers. */
+final class CallerConnection extends SimpleChannelInboundHandler<SipMessage> {
+    private static final Logger LOG = LoggerFactory.getLogger(CallerConnection.class);
+    /** A connection that says nothing from the start, or nothing more amid a message, is closed after this. */
+    private static final double SILENCE_TIMEOUT_MS = 2_000;
+    /** One without an open call after this: callers close theirs sooner, those that forget give room. */
+    private static final double IDLE_TIMEOUT_MS = 10_000;
+    /**
+     * At the limit of connections: the time in which a first set-up arrives and is read, also on part of a core; and
+     * how long one that has brought a set-up is idle before it gives way to another.
+     */
+    private static final double EVICTABLE_AFTER_MS = 60;
+
+    private static final double EVICTABLE_AFTER_IDLE_MS = 2_000;
+    private static final int BAD_REQUEST = 400;
+    private static final int METHOD_NOT_ALLOWED = 405;
+    private static final int CALL_DOES_NOT_EXIST = 481;
+    private static final int REQUEST_MERGED = 482;
+    private static final int REQUEST_TERMINATED = 487;
+    private static final int SERVICE_UNAVAILABLE = 503;
+
+    private final CallerListener listener;
+    private final SocketChannel channel;
+    private final SipDecoder decoder;
+    /** Set-ups of this connection that are not answered yet; the core's table bounds all of them. */
+    private final Set<NodeCall> pendingCalls = new HashSet<>();
+
+    private InetAddress remoteHost;
+    /** Calls that stand and were named on this connection last. */
+    private int establishedCalls;
+
+    private double lastReceivedMs;
+    /** Since when part of a message stands here; NaN while none does. */
+    private double midMessageSinceMs = Double.NaN;
+
+    private boolean messageReceived;
+    private boolean inviteReceived;
+    private boolean flushScheduled;
+
+    CallerConnection(CallerListener listener, SocketChannel channel, SipDecoder decoder) {
+        this.listener = listener;
+        this.channel = channel;
+        this.decoder = decoder;
+    }
+
+    // ---- The connection ---------------------------------------------------------------------------------
+
+    boolean isUsable() {
+        return channel.isActive();
+    }
+
+    /** Whether a set-up that can be used ever came: what sends none is no caller, whatever host it shares. */
+    boolean hasSentInvite() {
+        return inviteReceived;
+    }
+
+    /** Whether this connection may be closed for another: it has no call, and had time to bring one. */
+    boolean isEvictable(double now) {
+        return pendingCalls.isEmpty()
+                && establishedCalls == 0
+                && now - lastReceivedMs > (inviteReceived ? EVICTABLE_AFTER_IDLE_MS : EVICTABLE_AFTER_MS);
+    }
+
+    boolean hasSameHost(CallerConnection other) {
+        return other != null && remoteHost != null && remoteHost.equals(other.remoteHost);
+    }
+
+    /** Whether the connection has been of no use for too long. */
+    boolean isExpired(double now) {
+        boolean midMessage = decoder.isMidMessage();
+        double limitMs = !messageReceived || midMessage ? SILENCE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
+        // Whoever takes longer for one message than any caller waits for its answer wants none.
+        boolean messageOverdue =
+                midMessage && now - midMessageSinceMs > listener.inviteParser().maxPatienceMs();
+        return pendingCalls.isEmpty()
+                && (establishedCalls == 0 || midMessage)
+                && (now - lastReceivedMs > limitMs || messageOverdue);
+    }
+
+    /** Sends a message with what else this turn brings; {@code sent} hears whether the system took it. */
+    void send(SipMessage message, Consumer<Boolean> onWritten) {
+        var future = channel.write(SipEncoder.encode(channel.alloc(), message));
+        if (onWritten != null) {
+            future.addListener(completed -> onWritten.accept(completed.isSuccess()));
+        }
+        if (!channel.isWritable()) {
+            // Guards the memory against a caller that asks and does not read.
+            close("does not read");
+            return;
+        }
+        if (!flushScheduled) {
+            flushScheduled = true;
+            channel.eventLoop().execute(() -> {
+                flushScheduled = false;
+                channel.flush();
+            });
+        }
+    }
+
+    /** Closes from this side, for a reason that the log tells. */
+    void close(String reason) {
+        LOG.atDebug()
+                .addKeyValue("from", String.valueOf(channel.remoteAddress()))
+                .addKeyValue("why", reason)
+                .addKeyValue("open", pendingCalls.size())
+                .addKeyValue("standing", establishedCalls)
+                .log("caller closed");
+        channel.flush();
+        channel.close();
+    }
+
+    /** Says that nothing more comes, behind all that was said, and reads on until the caller closes. */
+    void finish() {
+        channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(future -> channel.shutdownOutput());
+    }
+
+    boolean hasEstablishedCalls() {
+        return establishedCalls > 0;
+    }
+
+    @Override
+    public String toString() {
+        return String.valueOf(channel.remoteAddress());
+    }
+
+    int establishedCallCount() {
+        return establishedCalls;
+    }
+
+    void adjustEstablishedCalls(int change) {
+        establishedCalls += change;
+    }
+
+    /** One of this connection's set-ups has its answer. */
+    void removePending(NodeCall call) {
+        pendingCalls.remove(call);
+    }
+
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
+        lastReceivedMs = listener.loop().now();
+        remoteHost = ((InetSocketAddress) channel.remoteAddress()).getAddress();
+        listener.onConnected(this);
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        if (!pendingCalls.isEmpty()) {
+            LOG.atDebug()
+                    .addKeyValue("from", String.valueOf(channel.remoteAddress()))
+                    .addKeyValue("open", pendingCalls.size())
+                    .log("caller gone with set-ups open");
+        }
+        listener.onClosed(this);
+        abandonPending();
+        listener.callRegistry().releases().onConnectionClosed(this);
+    }
+
+    private void abandonPending() {
+        if (!pendingCalls.isEmpty()) {
+            listener.router().clock(listener.loop().now());
+            new ArrayList<>(pendingCalls)
+                    .forEach(call -> listener.callRegistry().abandon(call));
+            pendingCalls.clear();
+            listener.loop().kick();
+        }
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        Throwable reason = cause instanceof DecoderException && cause.getCause() != null ? cause.getCause() : cause;
+        LOG.atDebug()
+                .addKeyValue("from", String.valueOf(channel.remoteAddress()))
+                .addKeyValue("why", reason.toString())
+                .log("caller's connection closed");
+        if (reason instanceof SipFormatException && channel.isActive()) {
+            // Where the next message starts is not known: told once, then closed.
+            channel.writeAndFlush(SipEncoder.encode(
+                            channel.alloc(), SipMessage.response(BAD_REQUEST, "Bad Request", null, null)))
+                    .addListener(ChannelFutureListener.CLOSE);
+            abandonPending();
+            return;
+        }
+        if (!(reason instanceof java.io.IOException) && !(reason instanceof SipFormatException)) {
+            LOG.atError().setCause(reason).log("a defect met by a caller's message");
+        }
+        close(reason.toString());
+    }
+
+    @Override
+    public void channelReadComplete(ChannelHandlerContext ctx) {
+        // Part of a message counts as a word too: only when no more comes is its sender silent.
+        lastReceivedMs = listener.loop().now();
+        midMessageSinceMs = !decoder.isMidMessage()
+                ? Double.NaN
+                : Double.isNaN(midMessageSinceMs) ? lastReceivedMs : midMessageSinceMs;
+        ctx.fireChannelReadComplete();
+    }
+
+    // ---- What it says -----------------------------------------------------------------------------------
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, SipMessage message) {
+        double now = listener.loop().now();
+        lastReceivedMs = now;
+        messageReceived = true;
+        listener.onMessage(this);
+        listener.router().catchUp(now);
+        listener.router().clock(now);
+        if (message.isRequest()) {
+            onRequest(message, now);
+            listener.loop().kick();
+        } else if (message.cseqMethod().equals(SipMessage.BYE) && message.status() == SipMessage.OK) {
+            listener.callRegistry().releases().onConfirmed(this, String.valueOf(message.callId()));
+        }
+    }
+
+    private void onRequest(SipMessage message, double now) {
+        switch (message.method()) {
+            case SipMessage.INVITE -> onInvite(message, now);
+            case SipMessage.ACK -> {}
+            case SipMessage.CANCEL -> onCancel(message);
+            case SipMessage.BYE -> onBye(message);
+            case SipMessage.OPTIONS -> {
+                if (listener.isReady()) {
+                    reply(message, SipMessage.OK, "OK");
+                } else {
+                    reply(message, SERVICE_UNAVAILABLE, "Service Unavailable");
+                }
+            }
+            default -> reply(message, METHOD_NOT_ALLOWED, "Method Not Allowed");
+        }
+    }
+
+    private void reply(SipMessage request, int status, String reasonPhrase) {
+        send(SipMessage.response(status, reasonPhrase, request.callId(), request.cseq()), null);
+    }
+
+    private void onInvite(SipMessage message, double now) {
+        SetUpRequest setUp;
+        try {
+            setUp = listener.inviteParser().parse(message);
+        } catch (InvalidInviteException e) {
+            reply(message, BAD_REQUEST, "Bad Request: " + e.getMessage());
+            return;
+        }
+        CallRegistry callRegistry = listener.callRegistry();
+        if (!inviteReceived) {
+            inviteReceived = true;
+            callRegistry.releases().onCallerAvailable(this);
+        }
+        NodeCall existing = callRegistry.get(setUp.callId());
+        if (setUp.establishedServerId() != null) {
+            onEstablishedInvite(setUp, message, existing, now);
+            return;
+        }
+        if (existing != null) {
+            rejectMerged(message, existing);
+            return;
+        }
+        NodeCall call = new NodeCall(
+                callRegistry,
+                setUp.callId(),
+                setUp.requestUri(),
+                setUp.className(),
+                setUp.legs(),
+                message.cseq(),
+                message.body(),
+                this);
+        pendingCalls.add(call);
+        callRegistry.add(call);
+        callRegistry.attachRecord(
+                call,
+                listener.router()
+                        .routed(
+                                now,
+                                setUp.number(),
+                                setUp.classIndex(),
+                                setUp.destinationCell(),
+                                setUp.patienceMs(),
+                                listener.router().turnAge(now),
+                                setUp.redial(),
+                                call));
+    }
+
+    /** A second set-up under an id in use: which of the two its sender means can't be known. */
+    private void rejectMerged(SipMessage message, NodeCall existing) {
+        if (existing.caller == this
+                && pendingCalls.contains(existing)
+                && !Arrays.equals(existing.offer, message.body())) {
+            pendingCalls.remove(existing);
+            listener.callRegistry().abandon(existing);
+        }
+        reply(message, REQUEST_MERGED, "Request Merged");
+    }
+
+    /** A call that stands already: from now on its release goes to this connection. */
+    private void onEstablishedInvite(SetUpRequest setUp, SipMessage message, NodeCall existing, double now) {
+        if (existing != null) {
+            // Taken over from a connection that has gone only: who merely knows an id does not get its release.
+            if (existing.establishedServer != null
+                    && existing.establishedServer.id().equals(setUp.establishedServerId())
+                    && !existing.caller.isUsable()) {
+                existing.caller.adjustEstablishedCalls(-1);
+                existing.caller = this;
+                adjustEstablishedCalls(1);
+            }
+            return;
+        }
+        NodeCall call = new NodeCall(
+                listener.callRegistry(),
+                setUp.callId(),
+                setUp.requestUri(),
+                setUp.className(),
+                setUp.legs(),
+                message.cseq(),
+                null,
+                this);
+        ServerEndpoint server = listener.serverEndpoints().get(setUp.establishedServerId());
+        if (server == null) {
+            listener.callRegistry().releases().send(call, CallRegistry.CAUSE_TEMPORARY_FAILURE);
+        } else {
+            listener.callRegistry().adopt(call, server, now);
+        }
+    }
+
+    private void onCancel(SipMessage message) {
+        NodeCall call = listener.callRegistry().get(String.valueOf(message.callId()));
+        if (call == null) {
+            reply(message, CALL_DOES_NOT_EXIST, "Call Does Not Exist");
+        } else if (call.establishedServer == null) {
+            terminate(call);
+        } else {
+            // It crossed the answer: its caller has gone, and both sides hear that the call is over.
+            listener.callRegistry().releaseByCaller(call);
+            listener.callRegistry().releases().send(call, CallRegistry.CAUSE_NORMAL_CLEARING);
+        }
+    }
+
+    private void terminate(NodeCall call) {
+        CallerConnection owner = call.caller;
+        owner.pendingCalls.remove(call);
+        listener.callRegistry().abandon(call);
+        owner.send(SipMessage.response(REQUEST_TERMINATED, "Request Terminated", call.id, call.cseq), null);
+    }
+
+    private void onBye(SipMessage message) {
+        NodeCall call = listener.callRegistry().get(String.valueOf(message.callId()));
+        if (call == null) {
+            reply(message, CALL_DOES_NOT_EXIST, "Call Does Not Exist");
+            return;
+        }
+        if (call.establishedServer == null) {
+            terminate(call);
+        } else {
+            listener.callRegistry().releaseByCaller(call);
+        }
+        reply(message, SipMessage.OK, "OK");
+    }
+}
--- a/src/main/java/damsonseam/node/CallerListener.java
+++ b/src/main/java/damsonseam/node/CallerListener.java
@@ -29,83 +29,85 @@
 final class CallerListener {
     private static final Logger LOG = LoggerFactory.getLogger(CallerListener.class);
     /** Octets waiting to be sent beyond which a caller is taken not to read, and is closed. */
-    static final int MOST_UNSENT = 256 << 10;
+    static final int MAX_UNSENT_BYTES = 256 << 10;
 
-    private static final int BACKLOG = 512;
+    private static final int ACCEPT_BACKLOG = 512;
     /** Connections accepted in one turn of the loop: callers with calls are not kept waiting by newcomers. */
-    private static final int ACCEPTS_A_TURN = 4;
+    private static final int ACCEPTS_PER_ITERATION = 4;
     /** How long nobody is accepted where the system had no descriptor for the last. */
-    private static final double NO_ACCEPT_MS = 50;
+    private static final double ACCEPT_RETRY_DELAY_MS = 50;
 
-    private static final double SWEEP_MS = 50;
+    private static final double SWEEP_INTERVAL_MS = 50;
 
     private final Loop loop;
-    private final CallSettings settings;
-    private final CallBook book;
-    private final ServerLinks servers;
+    private final InviteParser inviteParser;
+    private final CallRegistry callRegistry;
+    private final ServerEndpoints serverEndpoints;
     /** Descriptors for callers and for servers together. */
-    private final int descriptors;
+    private final int maxDescriptors;
 
     private final BooleanSupplier ready;
     /** In the order in which they were last heard of. */
-    private final Set<CallerLink> links = new LinkedHashSet<>();
+    private final Set<CallerConnection> connections = new LinkedHashSet<>();
 
     private Router router;
     private Channel channel;
-    private long gaveWay;
-    private volatile int peak;
-    private double heardAt;
-    private double acceptsFrom = Double.NEGATIVE_INFINITY;
+    private long evictedConnections;
+    private volatile int peakConnections;
+    private double lastActivityMs;
+    private double acceptFromMs = Double.NEGATIVE_INFINITY;
 
     CallerListener(
             Loop loop,
-            CallSettings settings,
-            CallBook book,
-            ServerLinks servers,
-            int descriptors,
+            InviteParser inviteParser,
+            CallRegistry callRegistry,
+            ServerEndpoints serverEndpoints,
+            int maxDescriptors,
             BooleanSupplier ready) {
         this.loop = loop;
-        this.settings = settings;
-        this.book = book;
-        this.servers = servers;
-        this.descriptors = descriptors;
+        this.inviteParser = inviteParser;
+        this.callRegistry = callRegistry;
+        this.serverEndpoints = serverEndpoints;
+        this.maxDescriptors = maxDescriptors;
         this.ready = ready;
     }
 
     void start(Router router) {
         this.router = router;
-        loop.timers().set(loop.now() + SWEEP_MS, this::sweep);
+        loop.timers().set(loop.now() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     /** Opens the port. */
     void bind(InetSocketAddress address) throws IOException {
-        ChannelFuture bound = new ServerBootstrap()
+        ChannelFuture bindFuture = new ServerBootstrap()
                 .group(loop.eventLoop())
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS_A_TURN))
+                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS_PER_ITERATION))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.ALLOCATOR, NodeServer.BUFFERS)
+                .childOption(ChannelOption.ALLOCATOR, NodeServer.ALLOCATOR)
                 .childOption(
-                        ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(MOST_UNSENT / 2, MOST_UNSENT))
-                .handler(new Accepts())
+                        ChannelOption.WRITE_BUFFER_WATER_MARK,
+                        new WriteBufferWaterMark(MAX_UNSENT_BYTES / 2, MAX_UNSENT_BYTES))
+                .handler(new AcceptFailureHandler())
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel made) {
+                    protected void initChannel(SocketChannel channel) {
                         SipDecoder decoder = new SipDecoder();
-                        made.pipeline().addLast(decoder, new CallerLink(CallerListener.this, made, decoder));
+                        channel.pipeline()
+                                .addLast(decoder, new CallerConnection(CallerListener.this, channel, decoder));
                     }
                 })
                 .bind(address)
                 .awaitUninterruptibly();
-        if (!bound.isSuccess()) {
+        if (!bindFuture.isSuccess()) {
             throw new IOException(
-                    "cannot listen on " + address + ": " + bound.cause().getMessage(), bound.cause());
+                    "cannot listen on " + address + ": " + bindFuture.cause().getMessage(), bindFuture.cause());
         }
-        channel = bound.channel();
+        channel = bindFuture.channel();
     }
 
     InetSocketAddress address() {
@@ -113,8 +115,8 @@
     }
 
     /** The most connections that there were at a time. */
-    int peak() {
-        return peak;
+    int peakConnections() {
+        return peakConnections;
     }
 
     ChannelPipeline pipeline() {
@@ -122,51 +124,53 @@
     }
 
     /** Whether no connection waits for room to be accepted: what came on one has been read. */
-    boolean accepting() {
+    boolean isAccepting() {
         return channel.config().isAutoRead();
     }
 
     /** A connection was accepted. */
-    void connected(CallerLink link) {
-        links.add(link);
-        heardAt = loop.now();
-        peak = Math.max(peak, links.size());
-        makeRoom(heardAt);
+    void onConnected(CallerConnection connection) {
+        connections.add(connection);
+        lastActivityMs = loop.now();
+        peakConnections = Math.max(peakConnections, connections.size());
+        enforceConnectionLimit(lastActivityMs);
     }
 
     /** What is left beside a connection to each server that the list names, however many these are. */
-    private int most() {
-        return Math.max(1, descriptors - servers.reserved());
+    private int maxConnections() {
+        return Math.max(1, maxDescriptors - serverEndpoints.reservedDescriptors());
     }
 
     /** Netty's own answer to an accept that fails is a second without any; here one connection may give way. */
-    private final class Accepts extends ChannelInboundHandlerAdapter {
+    private final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             double now = loop.now();
             LOG.atWarn()
                     .addKeyValue("why", cause.toString())
-                    .addKeyValue("connections", links.size())
+                    .addKeyValue("connections", connections.size())
                     .log("a caller could not be accepted");
-            acceptsFrom = now + NO_ACCEPT_MS;
-            giveWay(now);
-            makeRoom(now);
+            acceptFromMs = now + ACCEPT_RETRY_DELAY_MS;
+            evictOne(now);
+            enforceConnectionLimit(now);
         }
     }
 
     /** Closes the connection of the least use; false if each may be needed. */
-    private boolean giveWay(double now) {
-        CallerLink way = links.stream()
-                .filter(l -> l.givesWay(now) && !l.shown())
+    private boolean evictOne(double now) {
+        CallerConnection evicted = connections.stream()
+                .filter(connection -> connection.isEvictable(now) && !connection.hasSentInvite())
                 .findFirst()
-                .orElseGet(() ->
-                        links.stream().filter(l -> l.givesWay(now)).findFirst().orElse(null));
-        if (way == null) {
+                .orElseGet(() -> connections.stream()
+                        .filter(connection -> connection.isEvictable(now))
+                        .findFirst()
+                        .orElse(null));
+        if (evicted == null) {
             return false;
         }
-        gaveWay++;
-        links.remove(way);
-        way.close("gives way");
+        evictedConnections++;
+        connections.remove(evicted);
+        evicted.close("gives way");
         return true;
     }
 
@@ -175,25 +179,25 @@
      * the longest ago first. One that has just come is never closed for another, as its first set-up may be on its way:
      * while none can give way, the next wait with the system.
      */
-    private void makeRoom(double now) {
-        while (links.size() >= most()) {
-            if (!giveWay(now)) {
+    private void enforceConnectionLimit(double now) {
+        while (connections.size() >= maxConnections()) {
+            if (!evictOne(now)) {
                 break;
             }
         }
-        boolean room = links.size() < most() && now >= acceptsFrom;
-        if (channel != null && channel.isActive() && channel.config().isAutoRead() != room) {
-            channel.config().setAutoRead(room);
+        boolean accept = connections.size() < maxConnections() && now >= acceptFromMs;
+        if (channel != null && channel.isActive() && channel.config().isAutoRead() != accept) {
+            channel.config().setAutoRead(accept);
             LOG.atInfo()
-                    .addKeyValue("connections", links.size())
-                    .addKeyValue("peak", peak)
-                    .addKeyValue("gaveWay", gaveWay)
-                    .log(room ? "callers are accepted again" : "callers wait to be accepted");
+                    .addKeyValue("connections", connections.size())
+                    .addKeyValue("peak", peakConnections)
+                    .addKeyValue("gaveWay", evictedConnections)
+                    .log(accept ? "callers are accepted again" : "callers wait to be accepted");
         }
     }
 
-    void closed(CallerLink link) {
-        links.remove(link);
+    void onClosed(CallerConnection connection) {
+        connections.remove(connection);
     }
 
     /**
@@ -201,42 +205,44 @@
      * one host: one on which a call stands is a caller's for sure, as nobody else is ever given one; of these, one of
      * the same host before others. Else one of the same host that has sent a set-up. Of equals the one heard of last.
      *
-     * @param not the connection on which the release was said before, or null
+     * @param excluded the connection on which the release was said before, or null
      */
-    CallerLink another(CallerLink of, CallerLink not) {
-        CallerLink found = null;
-        int best = 1;
-        for (CallerLink link : links) {
-            boolean may = link != not && link.usable() && link.shown();
-            int fits = !may ? 0 : (link.standing() ? 2 : 0) + (link.sameHost(of) ? 1 : 0);
-            if (fits >= best) {
-                found = link;
-                best = fits;
+    CallerConnection findAlternative(CallerConnection original, CallerConnection excluded) {
+        CallerConnection found = null;
+        int bestScore = 1;
+        for (CallerConnection connection : connections) {
+            boolean eligible = connection != excluded && connection.isUsable() && connection.hasSentInvite();
+            int score = !eligible
+                    ? 0
+                    : (connection.hasEstablishedCalls() ? 2 : 0) + (connection.hasSameHost(original) ? 1 : 0);
+            if (score >= bestScore) {
+                found = connection;
+                bestScore = score;
             }
         }
         return found;
     }
 
-    void heard(CallerLink link) {
-        heardAt = loop.now();
-        if (links.remove(link)) {
-            links.add(link);
+    void onMessage(CallerConnection connection) {
+        lastActivityMs = loop.now();
+        if (connections.remove(connection)) {
+            connections.add(connection);
         }
     }
 
     private void sweep(double now) {
-        List<CallerLink> over = new ArrayList<>();
-        links.forEach(link -> {
-            if (link.overdue(now)) {
-                over.add(link);
+        List<CallerConnection> expired = new ArrayList<>();
+        connections.forEach(connection -> {
+            if (connection.isExpired(now)) {
+                expired.add(connection);
             }
         });
-        over.forEach(link -> link.close("silent or idle"));
-        makeRoom(now);
-        loop.timers().set(now + SWEEP_MS, this::sweep);
+        expired.forEach(connection -> connection.close("silent or idle"));
+        enforceConnectionLimit(now);
+        loop.timers().set(now + SWEEP_INTERVAL_MS, this::sweep);
     }
 
-    boolean ready() {
+    boolean isReady() {
         return ready.getAsBoolean();
     }
 
@@ -244,41 +250,41 @@
         return loop;
     }
 
-    CallSettings settings() {
-        return settings;
+    InviteParser inviteParser() {
+        return inviteParser;
     }
 
-    CallBook book() {
-        return book;
+    CallRegistry callRegistry() {
+        return callRegistry;
     }
 
-    ServerLinks servers() {
-        return servers;
+    ServerEndpoints serverEndpoints() {
+        return serverEndpoints;
     }
 
     Router router() {
         return router;
     }
 
-    int connections() {
-        return links.size();
+    int connectionCount() {
+        return connections.size();
     }
 
     /** When a caller last said something or connected. */
-    double heardAt() {
-        return heardAt;
+    double lastActivityMs() {
+        return lastActivityMs;
     }
 
     /** Closes the port, and each connection once its caller has read all that was said there. */
     void finish() {
         channel.close();
-        List.copyOf(links).forEach(CallerLink::finish);
+        List.copyOf(connections).forEach(CallerConnection::finish);
     }
 
     void close() {
         if (channel != null) {
             channel.close();
         }
-        List.copyOf(links).forEach(link -> link.close("node ends"));
+        List.copyOf(connections).forEach(connection -> connection.close("node ends"));
     }
 }
--- a/src/main/java/damsonseam/node/CoordinatorClient.java
+++ b/src/main/java/damsonseam/node/CoordinatorClient.java
@@ -32,43 +32,43 @@
 final class CoordinatorClient implements Ports.Directory {
     private static final Logger LOG = LoggerFactory.getLogger(CoordinatorClient.class);
     /** A frame comes each second; two missing ones would be late for what a silent coordinator owes. */
-    private static final double SILENCE_MS = 1_500;
+    private static final double SILENCE_TIMEOUT_MS = 1_500;
 
-    private static final double FIRST_BACKOFF_MS = 50;
-    private static final double MOST_BACKOFF_MS = 500;
-    private static final int CONNECT_MS = 500;
-    private static final int HEADER = 9;
-    private static final int RECORD = 27;
-    private static final int MOST_FRAME = HEADER + RECORD * Pool.MOST_SERVERS;
+    private static final double INITIAL_BACKOFF_MS = 50;
+    private static final double MAX_BACKOFF_MS = 500;
+    private static final int CONNECT_TIMEOUT_MS = 500;
+    private static final int HEADER_BYTES = 9;
+    private static final int RECORD_BYTES = 27;
+    private static final int MAX_FRAME_BYTES = HEADER_BYTES + RECORD_BYTES * Pool.MOST_SERVERS;
 
     private final Loop loop;
-    private final ServerLinks servers;
+    private final ServerEndpoints serverEndpoints;
     private final SplittableRandom random;
     private Router router;
     private Endpoint address;
     private Channel channel;
-    private double heardAt;
-    private double backoff = FIRST_BACKOFF_MS;
+    private double lastReceivedMs;
+    private double backoffMs = INITIAL_BACKOFF_MS;
     /** Counts watches and backoffs: what belongs to an earlier one is passed over. */
     private long generation;
     /** The highest number that a frame of nothing new made this node ask for: asked for once. */
-    private long missed;
+    private long lastGapNumber;
 
     private boolean closed;
 
     /** @param seed spreads the backoffs of a fleet */
-    CoordinatorClient(Loop loop, ServerLinks servers, Endpoint address, long seed) {
+    CoordinatorClient(Loop loop, ServerEndpoints serverEndpoints, Endpoint address, long seed) {
         this.loop = loop;
-        this.servers = servers;
+        this.serverEndpoints = serverEndpoints;
         this.address = address;
         random = new SplittableRandom(seed);
     }
 
     /** Applies what the configuration knows already, and connects. */
-    void start(Router router, List<ServerListUpdate> known) {
+    void start(Router router, List<ServerListUpdate> knownUpdates) {
         this.router = router;
-        known.forEach(this::apply);
-        watch();
+        knownUpdates.forEach(this::apply);
+        connect();
     }
 
     /** The module asks for the list before the start, which connects by itself, or when it was told of a failure. */
@@ -81,54 +81,57 @@
     @Override
     public void fetch() {
         if (channel != null) {
-            broke(generation, "asked for");
+            onConnectionLost(generation, "asked for");
         }
     }
 
     /** The coordinator is at another address from now on; numbers go on. */
-    void move(Endpoint to, List<ServerListUpdate> known) {
-        known.forEach(this::apply);
-        if (!to.equals(address)) {
+    void changeAddress(Endpoint newAddress, List<ServerListUpdate> knownUpdates) {
+        knownUpdates.forEach(this::apply);
+        if (!newAddress.equals(address)) {
             LOG.atInfo()
                     .addKeyValue("from", address.toString())
-                    .addKeyValue("to", to.toString())
+                    .addKeyValue("to", newAddress.toString())
                     .log("coordinator moved");
-            address = to;
-            backoff = FIRST_BACKOFF_MS;
-            watch();
+            address = newAddress;
+            backoffMs = INITIAL_BACKOFF_MS;
+            connect();
         }
     }
 
-    private void watch() {
+    private void connect() {
         if (closed) {
             return;
         }
-        long of = leave();
-        heardAt = loop.now();
-        ChannelFuture made = new Bootstrap()
+        long connectionGeneration = disconnect();
+        lastReceivedMs = loop.now();
+        ChannelFuture connectFuture = new Bootstrap()
                 .group(loop.eventLoop())
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.ALLOCATOR, NodeServer.BUFFERS)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.ALLOCATOR, NodeServer.ALLOCATOR)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel made) {
-                        made.pipeline()
-                                .addLast(new LengthFieldBasedFrameDecoder(MOST_FRAME, 0, 4, 0, 4), new Frames(of));
+                    protected void initChannel(SocketChannel socketChannel) {
+                        socketChannel
+                                .pipeline()
+                                .addLast(
+                                        new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, 4, 0, 4),
+                                        new FrameHandler(connectionGeneration));
                     }
                 })
                 .connect(address.socket());
-        made.addListener(f -> {
+        connectFuture.addListener(f -> {
             if (!f.isSuccess()) {
-                broke(of, f.cause().toString());
+                onConnectionLost(connectionGeneration, f.cause().toString());
             }
         });
-        lookAt(of);
+        scheduleSilenceCheck(connectionGeneration);
     }
 
     /** Ends the watch or backoff that there is, and begins the count of the next. */
-    private long leave() {
+    private long disconnect() {
         if (channel != null) {
             channel.close();
             channel = null;
@@ -136,73 +139,73 @@
         return ++generation;
     }
 
-    private void lookAt(long of) {
-        loop.timers().set(loop.now() + SILENCE_MS / 4, now -> {
-            if (of != generation) {
+    private void scheduleSilenceCheck(long connectionGeneration) {
+        loop.timers().set(loop.now() + SILENCE_TIMEOUT_MS / 4, now -> {
+            if (connectionGeneration != generation) {
                 return;
             }
-            if (now - heardAt > SILENCE_MS) {
-                broke(of, "silent");
+            if (now - lastReceivedMs > SILENCE_TIMEOUT_MS) {
+                onConnectionLost(connectionGeneration, "silent");
             } else {
-                lookAt(of);
+                scheduleSilenceCheck(connectionGeneration);
             }
         });
     }
 
-    private void broke(long of, String why) {
-        if (of != generation || closed) {
+    private void onConnectionLost(long connectionGeneration, String reason) {
+        if (connectionGeneration != generation || closed) {
             return;
         }
         LOG.atInfo()
-                .addKeyValue("why", why)
+                .addKeyValue("why", reason)
                 .addKeyValue("last", router.pool().version())
                 .log("coordinator lost");
-        long next = leave();
-        double wait = backoff * (0.5 + 0.5 * random.nextDouble());
-        backoff = Math.min(MOST_BACKOFF_MS, 2 * backoff);
-        loop.timers().set(loop.now() + wait, now -> {
-            if (next == generation) {
-                watch();
+        long nextGeneration = disconnect();
+        double delayMs = backoffMs * (0.5 + 0.5 * random.nextDouble());
+        backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
+        loop.timers().set(loop.now() + delayMs, now -> {
+            if (nextGeneration == generation) {
+                connect();
             }
         });
     }
 
     /** One frame; null says that nothing is new, as of {@code number}. */
-    private void received(long of, long number, ServerListUpdate event) {
-        heardAt = loop.now();
-        if (event != null ? apply(event) : number <= router.pool().version() || number <= missed) {
-            backoff = FIRST_BACKOFF_MS;
+    private void onFrame(long connectionGeneration, long number, ServerListUpdate update) {
+        lastReceivedMs = loop.now();
+        if (update != null ? apply(update) : number <= router.pool().version() || number <= lastGapNumber) {
+            backoffMs = INITIAL_BACKOFF_MS;
             return;
         }
         // An event before this number never came, and none will on this connection.
-        missed = Math.max(missed, number);
-        broke(of, "a gap before " + number);
+        lastGapNumber = Math.max(lastGapNumber, number);
+        onConnectionLost(connectionGeneration, "a gap before " + number);
     }
 
     /** Events that were had already are passed over; a gap asks again from the last number had. */
-    private boolean apply(ServerListUpdate event) {
-        if (event.number() <= router.pool().version()) {
+    private boolean apply(ServerListUpdate update) {
+        if (update.number() <= router.pool().version()) {
             return true;
         }
         double now = loop.now();
-        boolean gap =
-                router.directory(now, event.number(), event.full(), event.servers(now, System.currentTimeMillis()));
-        servers.follow(router.pool());
+        boolean gap = router.directory(
+                now, update.number(), update.full(), update.toServers(now, System.currentTimeMillis()));
+        serverEndpoints.applyServerList(router.pool());
         LOG.atInfo()
-                .addKeyValue("number", event.number())
-                .addKeyValue("full", event.full())
-                .addKeyValue("entries", event.entries().toString())
+                .addKeyValue("number", update.number())
+                .addKeyValue("full", update.full())
+                .addKeyValue("entries", update.entries().toString())
                 .log("list");
         return !gap;
     }
 
     /** Reads one frame behind its length and number; null where it holds nothing new. */
-    static ServerListUpdate read(long number, ByteBuf frame) {
+    static ServerListUpdate parseFrame(long number, ByteBuf frame) {
         int kind = frame.readUnsignedByte();
         if (kind == 0) {
             return null;
         }
-        if (kind > 2 || frame.readableBytes() % RECORD != 0) {
+        if (kind > 2 || frame.readableBytes() % RECORD_BYTES != 0) {
             throw new IllegalArgumentException(
                     "a frame of kind " + kind + " with " + frame.readableBytes() + " octets of records");
         }
@@ -237,16 +240,16 @@
         }
     }
 
-    private final class Frames extends SimpleChannelInboundHandler<ByteBuf> {
-        private final long of;
+    private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private final long connectionGeneration;
 
-        Frames(long of) {
-            this.of = of;
+        FrameHandler(long connectionGeneration) {
+            this.connectionGeneration = connectionGeneration;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (of != generation) {
+            if (connectionGeneration != generation) {
                 ctx.close();
                 return;
             }
@@ -256,20 +259,20 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            if (of != generation) {
+            if (connectionGeneration != generation) {
                 return;
             }
-            if (frame.readableBytes() < HEADER) {
+            if (frame.readableBytes() < HEADER_BYTES) {
                 throw new IllegalArgumentException("a frame of " + frame.readableBytes() + " octets");
             }
             long number = frame.readLong();
-            received(of, number, read(number, frame));
+            onFrame(connectionGeneration, number, parseFrame(number, frame));
             loop.kick();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            broke(of, "closed");
+            onConnectionLost(connectionGeneration, "closed");
         }
 
         @Override
--- /dev/null
+++ b/src/main/java/damsonseam/node/InviteParser.java
@@ -0,0 +1,142 @@
+package damsonseam.node;
+
+import damsonseam.settings.ReportFields;
+import damsonseam.settings.StartSettings;
+import damsonseam.sip.SipMessage;
+import java.util.List;
+
+/** How calls and reports are read off messages, as far as the settings say. */
+final class InviteParser {
+    private static final int CALL_ID_LENGTH = 16;
+    private static final int MAX_NUMBER_LENGTH = 64;
+    /** Longest wait that a caller may name, in milliseconds: a day, far beyond any deadline. */
+    private static final double MAX_TIMER_MS = 86_400_000;
+
+    private static final int MAX_LEG_VALUE = 65_535;
+    private static final String SIP_SCHEME = "sip:";
+
+    private final List<String> classNames;
+    private final ReportFields reportFields;
+    private final double maxPatienceMs;
+
+    InviteParser(StartSettings settings) {
+        classNames = settings.classNames();
+        maxPatienceMs = settings.settings(0).classes().stream()
+                .mapToDouble(c -> c.deadline().orElse(MAX_TIMER_MS))
+                .max()
+                .orElse(MAX_TIMER_MS);
+        reportFields = new ReportFields(settings.reportFields(), ';');
+    }
+
+    /** The longest that a caller of any class waits for an answer, in milliseconds. */
+    double maxPatienceMs() {
+        return maxPatienceMs;
+    }
+
+    ReportFields reportFields() {
+        return reportFields;
+    }
+
+    /**
+     * What a set-up says.
+     *
+     * @param establishedServerId the server at which the call stands already, or null
+     */
+    record SetUpRequest(
+            String callId,
+            String requestUri,
+            String number,
+            int classIndex,
+            String className,
+            double patienceMs,
+            boolean redial,
+            int destinationCell,
+            String establishedServerId,
+            String legs) {}
+
+    /** A message that can't be used; the text says what was expected. */
+    static final class InvalidInviteException extends Exception {
+        private static final long serialVersionUID = 1L;
+
+        InvalidInviteException(String expected) {
+            super("expected " + expected, null, false, false);
+        }
+    }
+
+    /** Whether a text is an id of a call. */
+    static boolean isCallId(String text) {
+        return text != null
+                && text.length() == CALL_ID_LENGTH
+                && text.chars().allMatch(c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F');
+    }
+
+    /** Reads a set-up; every figure is checked for form and range. */
+    SetUpRequest parse(SipMessage invite) throws InvalidInviteException {
+        require(isCallId(invite.callId()), "a Call-ID of 16 hex digits");
+        require(invite.cseqNumber() >= 0 && invite.cseqMethod().equals(SipMessage.INVITE), "CSeq with INVITE");
+        String requestUri = invite.requestUri();
+        int atSign = requestUri.indexOf('@');
+        require(
+                requestUri.startsWith(SIP_SCHEME)
+                        && atSign > SIP_SCHEME.length()
+                        && atSign <= SIP_SCHEME.length() + MAX_NUMBER_LENGTH,
+                "sip:NUMBER@net");
+        String number = requestUri.substring(SIP_SCHEME.length(), atSign);
+        require(number.chars().allMatch(c -> c > ' ' && c < 0x7f), "a number");
+        String className = invite.headers().get("X-Cos");
+        int classIndex = classNames.indexOf(className);
+        require(classIndex >= 0, "X-Cos with a class of the settings");
+        String reattempt = invite.headers().get("X-Reattempt");
+        require(reattempt == null || reattempt.equals("1") || reattempt.equals("0"), "X-Reattempt as 1");
+        String legs = invite.headers().get("X-Legs");
+        int destinationCell = -1;
+        String establishedServerId = null;
+        for (String pair : legs == null || legs.isBlank() ? new String[0] : legs.split(";")) {
+            int colon = pair.indexOf(':');
+            require(colon > 0, "X-Legs as name:value pairs");
+            String value = pair.substring(colon + 1).strip();
+            switch (pair.substring(0, colon).strip()) {
+                case "dest" -> destinationCell = (int) parseNumber(value, -1, MAX_LEG_VALUE, "dest");
+                case "width" -> parseNumber(value, 0, MAX_LEG_VALUE, "width");
+                case "via" -> parseNumber(value, -1, MAX_LEG_VALUE, "via");
+                case "again" -> parseNumber(value, 0, 1, "again");
+                case "at" -> {
+                    require(value.matches("s-[0-9a-f]{8}"), "at with a server");
+                    establishedServerId = value;
+                }
+                default -> {} // A figure that later versions may bring.
+            }
+        }
+        String timer = invite.headers().get("X-Timer-Ms");
+        double patienceMs = establishedServerId != null && timer == null
+                ? 0
+                : parseNumber(timer == null ? "" : timer, 0, MAX_TIMER_MS, "X-Timer-Ms");
+        return new SetUpRequest(
+                invite.callId(),
+                requestUri,
+                number,
+                classIndex,
+                className,
+                patienceMs,
+                "1".equals(reattempt),
+                destinationCell,
+                establishedServerId,
+                legs);
+    }
+
+    private static double parseNumber(String text, double min, double max, String name) throws InvalidInviteException {
+        try {
+            double value = Double.parseDouble(text);
+            require(value >= min && value <= max, name + " from " + (long) min + " to " + (long) max);
+            return value;
+        } catch (NumberFormatException e) {
+            throw new InvalidInviteException(name + " as a number");
+        }
+    }
+
+    private static void require(boolean valid, String expected) throws InvalidInviteException {
+        if (!valid) {
+            throw new InvalidInviteException(expected);
+        }
+    }
+}
--- a/src/main/java/damsonseam/node/NodeCall.java
+++ b/src/main/java/damsonseam/node/NodeCall.java
@@ -12,7 +12,7 @@
     /** The id that the caller gave. */
     final String id;
     /** The address of the set-up's first line. */
-    final String target;
+    final String requestUri;
     /** The class by its name. */
     final String className;
     /** X-Legs as it came, or null. */
@@ -24,36 +24,36 @@
     /** The signalling server's description, from its answer until it has been passed on. */
     byte[] answer;
     /** Content-Type of that answer, or null. */
-    String answerType;
+    String answerContentType;
     /** The connection that named the call last. */
-    CallerLink caller;
+    CallerConnection caller;
     /** The core's record, null for a call that is not the core's. */
     CallRecord record;
     /** The server whose answer the core is being told of, else null. */
-    ServerLink answering;
+    ServerEndpoint answeringServer;
     /** Where an attempt broke or was given up last: it may run there all the same, under the same id. */
-    ServerLink brokeAt;
+    ServerEndpoint brokenAttemptServer;
     /** The connection that brought the answer; its server says the release there, too. */
-    ServerConnection standsOn;
+    ServerConnection establishedConnection;
     /** The server at which it stands, else null. */
-    ServerLink standsAt;
+    ServerEndpoint establishedServer;
     /** When it began to stand, on the node's clock. */
-    double stoodAt;
+    double establishedAtMs;
 
-    private final CallBook book;
+    private final CallRegistry callRegistry;
 
     NodeCall(
-            CallBook book,
+            CallRegistry callRegistry,
             String id,
-            String target,
+            String requestUri,
             String className,
             String legs,
             String cseq,
             byte[] offer,
-            CallerLink caller) {
-        this.book = book;
+            CallerConnection caller) {
+        this.callRegistry = callRegistry;
         this.id = id;
-        this.target = target;
+        this.requestUri = requestUri;
         this.className = className;
         this.legs = legs;
         this.cseq = cseq;
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void answered(double now, CallRecord call, FinalAnswer said) {
-        book.answered(now, this, call, said);
+    public void answered(double now, CallRecord call, FinalAnswer finalAnswer) {
+        callRegistry.onFinalAnswer(now, this, call, finalAnswer);
     }
 }
--- a/src/main/java/damsonseam/node/NodeConfig.java
+++ b/src/main/java/damsonseam/node/NodeConfig.java
@@ -37,16 +37,16 @@
         List<ServerListUpdate> knownUpdates,
         StartSettings settings) {
     /** Octets of the file at the most: it is read whole. */
-    private static final int MOST = 4 << 20;
+    private static final int MAX_FILE_BYTES = 4 << 20;
 
-    private static final int HEX = 16;
-    private static final int LEAST_SOCKETS = 64;
+    private static final int SEED_RADIX = 16;
+    private static final int MIN_SOCKETS = 64;
 
     /** Reads the file; a fault is told in one line that names the file and the key. */
     public static NodeConfig read(Path file) throws SettingsException {
         try {
-            if (Files.size(file) > MOST) {
-                throw new SettingsException(file + ": more than " + MOST + " octets");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new SettingsException(file + ": more than " + MAX_FILE_BYTES + " octets");
             }
             return fromJson(new ObjectMapper().readTree(Files.readAllBytes(file)));
         } catch (IOException | IllegalArgumentException e) {
@@ -58,19 +58,19 @@
     static NodeConfig fromJson(JsonNode root) {
         JsonNode limits = root.path("limits");
         Map<String, String> paths = new HashMap<>();
-        flatten("", need(root, "settings"), paths);
+        flatten("", require(root, "settings"), paths);
         return new NodeConfig(
                 root.path("name").asText("node"),
-                Endpoint.of(need(root, "listen").asText()),
-                Long.parseUnsignedLong(need(root, "seed").asText(), HEX),
-                Math.max(LEAST_SOCKETS, limits.path("sockets").asInt(LEAST_SOCKETS)),
+                Endpoint.of(require(root, "listen").asText()),
+                Long.parseUnsignedLong(require(root, "seed").asText(), SEED_RADIX),
+                Math.max(MIN_SOCKETS, limits.path("sockets").asInt(MIN_SOCKETS)),
                 limits.path("memory_mb").asInt(0),
-                Endpoint.of(need(root, "coordinator").asText()),
-                events(root.path("known").path("updates")),
+                Endpoint.of(require(root, "coordinator").asText()),
+                parseUpdates(root.path("known").path("updates")),
                 new StartSettings(paths, expected -> new IllegalArgumentException("settings: expected " + expected)));
     }
 
-    private static JsonNode need(JsonNode root, String key) {
+    private static JsonNode require(JsonNode root, String key) {
         JsonNode value = root.path(key);
         if (value.isMissingNode() || value.isNull()) {
             throw new IllegalArgumentException("the key '" + key + "' is missing");
@@ -82,8 +82,8 @@
     private static void flatten(String path, JsonNode node, Map<String, String> paths) {
         if (node.isObject()) {
             node.fields()
-                    .forEachRemaining(
-                            e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), paths));
+                    .forEachRemaining(entry -> flatten(
+                            path.isEmpty() ? entry.getKey() : path + "." + entry.getKey(), entry.getValue(), paths));
         } else if (node.isArray() && node.size() > 0 && node.get(0).isContainerNode()) {
             paths.put(path + ".count", Integer.toString(node.size()));
             for (int i = 0; i < node.size(); i++) {
@@ -98,31 +98,33 @@
         }
     }
 
-    private static List<ServerListUpdate> events(JsonNode updates) {
-        List<ServerListUpdate> events = new ArrayList<>();
+    private static List<ServerListUpdate> parseUpdates(JsonNode updates) {
+        List<ServerListUpdate> serverListUpdates = new ArrayList<>();
         for (JsonNode update : updates) {
-            JsonNode list = need(update, "endpoints");
+            JsonNode endpoints = require(update, "endpoints");
             List<ServerListUpdate.Entry> entries = new ArrayList<>();
-            for (JsonNode m : list.path("members")) {
+            for (JsonNode member : endpoints.path("members")) {
                 State state =
-                        switch (need(m, "phase").asText()) {
+                        switch (require(member, "phase").asText()) {
                             case "ready" -> State.RUNNING;
                             case "draining" -> State.DRAINING;
                             case "gone" -> State.GONE;
                             default ->
                                 throw new IllegalArgumentException("a member's phase is ready, draining or gone, not "
-                                        + m.path("phase").asText());
+                                        + member.path("phase").asText());
                         };
                 entries.add(new ServerListUpdate.Entry(
-                        need(m, "id").asText(),
-                        m.path("host_port").asText(""),
-                        m.path("cell").asInt(-1),
+                        require(member, "id").asText(),
+                        member.path("host_port").asText(""),
+                        member.path("cell").asInt(-1),
                         state,
-                        m.path("up_since_ms").asLong(0)));
+                        member.path("up_since_ms").asLong(0)));
             }
-            events.add(new ServerListUpdate(
-                    need(update, "index").asLong(), list.path("complete").asBoolean(), entries));
+            serverListUpdates.add(new ServerListUpdate(
+                    require(update, "index").asLong(),
+                    endpoints.path("complete").asBoolean(),
+                    entries));
         }
-        return events;
+        return serverListUpdates;
     }
 }
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -29,74 +29,80 @@
 public final class NodeServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(NodeServer.class);
     /** One arena of 256 KiB chunks without caches of other threads: all buffers belong to one loop. */
-    static final ByteBufAllocator BUFFERS = new PooledByteBufAllocator(true, 1, 1, 8192, 5, 0, 0, true);
+    static final ByteBufAllocator ALLOCATOR = new PooledByteBufAllocator(true, 1, 1, 8192, 5, 0, 0, true);
     /** The beat of the loop, in milliseconds: well under the module's own beat of 20. */
-    private static final double BEAT = 2;
+    private static final double TICK_MS = 2;
     /** How long before a caller gives up the core fails a call still unanswered; the module acts sooner. */
-    private static final double LAST_MOMENT = 8;
+    private static final double ANSWER_MARGIN_MS = 8;
     /** How long a give-up may take to be written before its attempt counts as over all the same. */
-    private static final double RELEASE_WAIT = 100;
+    private static final double RELEASE_WRITE_TIMEOUT_MS = 100;
 
-    private static final double CONNECT_TIMEOUT = 500;
-    private static final int MOST_HELD = 20_000;
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 500;
+    private static final int DEFAULT_MAX_OPEN_CALLS = 20_000;
     /** Open calls that a megabyte of memory is given for: one may hold two descriptions of 16 KiB at worst. */
-    private static final int CALLS_A_MB = 32;
+    private static final int CALLS_PER_MB = 32;
     /** Descriptors that the process itself holds: some 55 jars, pipes, the selector, the listener; and some spare. */
-    private static final int OWN_DESCRIPTORS = 72;
+    private static final int RESERVED_DESCRIPTORS = 72;
     /** Connections to all servers at the most, and as a share of the descriptors. */
-    private static final int MOST_SERVER_CONNECTIONS = 96;
+    private static final int MAX_SERVER_CONNECTIONS = 96;
 
-    private static final int SERVERS_SHARE = 6;
+    private static final int SERVER_DESCRIPTOR_DIVISOR = 6;
     /** A pause of the loop that the log tells of: callers and the module's estimates feel it. */
-    private static final double PAUSE_MS = 250;
+    private static final double MIN_LOGGED_PAUSE_MS = 250;
 
     private final NodeConfig config;
     private final MultiThreadIoEventLoopGroup group;
     private final Loop loop;
-    private final Releases releases;
-    private final CallBook book;
-    private final ServerLinks servers;
-    private final CallerListener callers;
+    private final PendingReleases pendingReleases;
+    private final CallRegistry callRegistry;
+    private final ServerEndpoints serverEndpoints;
+    private final CallerListener callerListener;
     private final CoordinatorClient coordinator;
     private final Router router;
     private final List<CallClass> classes;
-    private double beatAt;
-    private boolean ending;
+    private double lastTickMs;
+    private boolean draining;
     private boolean closed;
 
     private NodeServer(NodeConfig config) {
         this.config = config;
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        loop = new Loop((EventLoop) group.next(), BEAT);
-        releases = new Releases(loop);
-        book = new CallBook(releases);
-        Settings module = config.settings().settings(config.seed());
-        classes = module.classes();
-        CallSettings calls = new CallSettings(config.settings());
-        int links = Math.min(MOST_SERVER_CONNECTIONS, config.maxSockets() / SERVERS_SHARE);
-        servers = new ServerLinks(
+        loop = new Loop((EventLoop) group.next(), TICK_MS);
+        pendingReleases = new PendingReleases(loop);
+        callRegistry = new CallRegistry(pendingReleases);
+        Settings moduleSettings = config.settings().settings(config.seed());
+        classes = moduleSettings.classes();
+        InviteParser inviteParser = new InviteParser(config.settings());
+        int maxServerConnections = Math.min(MAX_SERVER_CONNECTIONS, config.maxSockets() / SERVER_DESCRIPTOR_DIVISOR);
+        serverEndpoints = new ServerEndpoints(
                 loop,
-                book,
-                calls.reports(),
-                config.settings().connectTimeout().orElse(CONNECT_TIMEOUT),
-                links,
+                callRegistry,
+                inviteParser.reportFields(),
+                config.settings().connectTimeout().orElse(DEFAULT_CONNECT_TIMEOUT_MS),
+                maxServerConnections,
                 config.seed(),
-                module.mayProbe().orElse(false));
+                moduleSettings.mayProbe().orElse(false));
         // Callers may take a third of the descriptors; all that is left is room for those that only knock.
-        callers = new CallerListener(loop, calls, book, servers, config.maxSockets() - OWN_DESCRIPTORS, this::ready);
-        coordinator = new CoordinatorClient(loop, servers, config.coordinator(), config.seed());
-        int most = Math.min(
-                config.settings().mostHeld().orElse(MOST_HELD),
-                config.memoryMb() > 0 ? config.memoryMb() * CALLS_A_MB : MOST_HELD);
+        callerListener = new CallerListener(
+                loop,
+                inviteParser,
+                callRegistry,
+                serverEndpoints,
+                config.maxSockets() - RESERVED_DESCRIPTORS,
+                this::isReady);
+        coordinator = new CoordinatorClient(loop, serverEndpoints, config.coordinator(), config.seed());
+        int maxOpenCalls = Math.min(
+                config.settings().mostHeld().orElse(DEFAULT_MAX_OPEN_CALLS),
+                config.memoryMb() > 0 ? config.memoryMb() * CALLS_PER_MB : DEFAULT_MAX_OPEN_CALLS);
         router = new Router(
-                new RouterSettings(module, most, BEAT, RELEASE_WAIT, LAST_MOMENT),
-                actions -> new Decide(module, actions),
-                new CallTable(most, System.currentTimeMillis() / 1000),
+                new RouterSettings(moduleSettings, maxOpenCalls, TICK_MS, RELEASE_WRITE_TIMEOUT_MS, ANSWER_MARGIN_MS),
+                actions -> new Decide(moduleSettings, actions),
+                new CallTable(maxOpenCalls, System.currentTimeMillis() / 1000),
                 loop.timers(),
                 (call, number, deadline) -> {
                     throw new IllegalStateException("a front node looks no numbers up");
                 },
-                servers,
+                serverEndpoints,
                 coordinator,
                 LoggerFactory.getLogger(CallLog.NAME).isInfoEnabled() ? new CallLog(config.name()) : Story.NONE);
     }
@@ -114,47 +120,47 @@
     }
 
     private void listen() throws IOException {
-        call(() -> {
-            book.start(router);
-            releases.start(router, callers);
-            servers.start(router);
-            callers.start(router);
+        callOnLoop(() -> {
+            callRegistry.start(router);
+            pendingReleases.start(router, callerListener);
+            serverEndpoints.start(router);
+            callerListener.start(router);
             coordinator.start(router, config.knownUpdates());
-            loop.start(this::beat, () -> router.settle(loop.now()));
+            loop.start(this::tick, () -> router.settle(loop.now()));
             loop.kick();
             return null;
         });
-        callers.bind(config.listen().socket());
+        callerListener.bind(config.listen().socket());
         LOG.atInfo()
                 .addKeyValue("node", config.name())
-                .addKeyValue("listen", callers.address().toString())
+                .addKeyValue("listen", callerListener.address().toString())
                 .addKeyValue("servers", config.knownUpdates().size())
                 .log("front node started");
     }
 
-    private void beat() {
+    private void tick() {
         double now = loop.now();
-        if (now - beatAt > PAUSE_MS && beatAt > 0) {
-            LOG.atInfo().addKeyValue("ms", Math.round(now - beatAt)).log("stood still");
+        if (now - lastTickMs > MIN_LOGGED_PAUSE_MS && lastTickMs > 0) {
+            LOG.atInfo().addKeyValue("ms", Math.round(now - lastTickMs)).log("stood still");
         }
-        beatAt = now;
+        lastTickMs = now;
         router.beat(now);
     }
 
-    private boolean ready() {
-        return !ending && servers.ready();
+    private boolean isReady() {
+        return !draining && serverEndpoints.isReady();
     }
 
     /** Where callers connect. */
     public InetSocketAddress address() {
-        return callers.address();
+        return callerListener.address();
     }
 
     /** A new configuration: only the coordinator's address changes while a node runs. */
-    public void reload(NodeConfig news) {
+    public void reload(NodeConfig newConfig) {
         if (!loop.eventLoop().isShuttingDown()) {
-            call(() -> {
-                coordinator.move(news.coordinator(), news.knownUpdates());
+            callOnLoop(() -> {
+                coordinator.changeAddress(newConfig.coordinator(), newConfig.knownUpdates());
                 return null;
             });
         }
@@ -163,65 +169,72 @@
     /** Answers what still comes, finishes what is open, and ends. */
     public void drain() throws InterruptedException {
         LOG.atInfo().addKeyValue("node", config.name()).log("ending");
-        CompletableFuture<Void> done = call(() -> {
-            ending = true;
-            return new Shutdown(loop, router, callers, servers, releases, classes).begin();
+        CompletableFuture<Void> done = callOnLoop(() -> {
+            draining = true;
+            return new Shutdown(loop, router, callerListener, serverEndpoints, pendingReleases, classes).start();
         });
         done.join();
         LOG.atInfo()
                 .addKeyValue("node", config.name())
-                .addKeyValue("owed", owed())
-                .addKeyValue("standing", call(() -> book.size()))
+                .addKeyValue("owed", pendingAnswers())
+                .addKeyValue("standing", callOnLoop(() -> callRegistry.size()))
                 .log("ended");
         close();
     }
 
-    private int owed() {
-        return call(() -> router.owed());
+    private int pendingAnswers() {
+        return callOnLoop(() -> router.owed());
     }
 
     /** Calls of callers, those that stand included. */
-    int open() {
-        return call(() -> book.size());
+    int openCalls() {
+        return callOnLoop(() -> callRegistry.size());
     }
 
     /** Connections from callers. */
-    int callers() {
-        return call(() -> callers.connections());
+    int callerConnections() {
+        return callOnLoop(() -> callerListener.connectionCount());
     }
 
     /** Signalling servers that are still of use. */
-    int links() {
-        return call(() -> servers.size());
+    int serverCount() {
+        return callOnLoop(() -> serverEndpoints.size());
     }
 
     /** Number of the last change of the list. */
-    long listVersion() {
-        return call(() -> router.pool().version());
+    long serverListVersion() {
+        return callOnLoop(() -> router.pool().version());
     }
 
     /**
      * What the node holds to be so, in places that must agree.
      *
-     * @param calls calls of callers, those that stand included
-     * @param core those that the core has, too: all but the ones taken over from before the start
-     * @param owed calls whose callers are owed an answer, by the core's count
+     * @param openCalls calls of callers, those that stand included
+     * @param coreCalls those that the core has, too: all but the ones taken over from before the start
+     * @param pendingAnswers calls whose callers are owed an answer, by the core's count
      * @param attempts attempts that have not ended, at all servers
-     * @param carried attempts by the counts of the connections that carry them, and those that wait for one
-     * @param standing calls that stand, by servers
-     * @param named calls that stand, by the connections of their callers
+     * @param carriedAttempts attempts by the counts of the connections that carry them, and those that wait for one
+     * @param establishedAtServers calls that stand, by servers
+     * @param establishedAtCallers calls that stand, by the connections of their callers
      */
-    record Beliefs(int calls, int core, int owed, int attempts, int carried, int standing, int named) {}
+    record ConsistencyCounts(
+            int openCalls,
+            int coreCalls,
+            int pendingAnswers,
+            int attempts,
+            int carriedAttempts,
+            int establishedAtServers,
+            int establishedAtCallers) {}
 
-    Beliefs beliefs() {
-        return call(() -> new Beliefs(
-                book.size(),
+    ConsistencyCounts consistencyCounts() {
+        return callOnLoop(() -> new ConsistencyCounts(
+                callRegistry.size(),
                 router.open(),
                 router.owed(),
-                servers.attempts(),
-                servers.carried(),
-                servers.standing(),
-                book.named()));
+                serverEndpoints.attempts(),
+                serverEndpoints.carriedAttempts(),
+                serverEndpoints.establishedCalls(),
+                callRegistry.establishedAtCallers()));
     }
 
     Loop loop() {
@@ -232,8 +245,8 @@
         return coordinator;
     }
 
-    CallerListener listener() {
-        return callers;
+    CallerListener callerListener() {
+        return callerListener;
     }
 
     /** Counts since the start; read them when the node is at rest. */
@@ -241,9 +254,9 @@
         return router.counters();
     }
 
-    private <T> T call(Callable<T> what) {
+    private <T> T callOnLoop(Callable<T> task) {
         try {
-            return loop.eventLoop().submit(what).get();
+            return loop.eventLoop().submit(task).get();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted", e);
@@ -261,8 +274,8 @@
         closed = true;
         loop.eventLoop().execute(() -> {
             loop.stop();
-            callers.close();
-            servers.close();
+            callerListener.close();
+            serverEndpoints.close();
             coordinator.close();
         });
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
--- a/src/main/java/damsonseam/node/ServerConnection.java
+++ b/src/main/java/damsonseam/node/ServerConnection.java
@@ -17,58 +17,58 @@
 final class ServerConnection extends SimpleChannelInboundHandler<SipMessage> {
     private static final Logger LOG = LoggerFactory.getLogger(ServerConnection.class);
 
-    private final ServerLink link;
+    private final ServerEndpoint endpoint;
     private final Channel channel;
     private final SipDecoder decoder;
-    private int out;
-    private boolean unflushed;
-    private boolean doubtful;
-    private double heardAt;
+    private int outstanding;
+    private boolean flushScheduled;
+    private boolean suspect;
+    private double lastReceivedMs;
 
-    ServerConnection(ServerLink link, Channel channel, SipDecoder decoder) {
-        this.link = link;
+    ServerConnection(ServerEndpoint endpoint, Channel channel, SipDecoder decoder) {
+        this.endpoint = endpoint;
         this.channel = channel;
         this.decoder = decoder;
     }
 
     /** Attempts out on this connection. */
-    int out() {
-        return out;
+    int outstanding() {
+        return outstanding;
     }
 
-    void out(int change) {
-        out += change;
+    void adjustOutstanding(int change) {
+        outstanding += change;
     }
 
-    boolean usable() {
+    boolean isUsable() {
         return channel.isActive() && channel.isWritable();
     }
 
     /** Whether a set-up was given up here that went out after the last word on this connection. */
-    boolean doubtful() {
-        return doubtful;
+    boolean isSuspect() {
+        return suspect;
     }
 
     /** A set-up sent at {@code sentAt} is given up: a connection that has said nothing since may be dead. */
-    void givenUp(double sentAt) {
-        doubtful |= heardAt < sentAt;
+    void onCancelled(double sentAtMs) {
+        suspect |= lastReceivedMs < sentAtMs;
     }
 
     /** Whether a message has been stuck half way for so long that its rest will not come. */
-    boolean stuck(double now, double limit) {
-        return decoder.isMidMessage() && now - heardAt > limit;
+    boolean isStuckMidMessage(double nowMs, double limitMs) {
+        return decoder.isMidMessage() && nowMs - lastReceivedMs > limitMs;
     }
 
     /** Sends a message with what else this turn brings; {@code sent} hears whether the system took it. */
-    void send(SipMessage message, Consumer<Boolean> sent) {
-        var written = channel.write(SipEncoder.encode(channel.alloc(), message));
-        if (sent != null) {
-            written.addListener(f -> sent.accept(f.isSuccess()));
+    void send(SipMessage message, Consumer<Boolean> onWritten) {
+        var future = channel.write(SipEncoder.encode(channel.alloc(), message));
+        if (onWritten != null) {
+            future.addListener(f -> onWritten.accept(f.isSuccess()));
         }
-        if (!unflushed) {
-            unflushed = true;
+        if (!flushScheduled) {
+            flushScheduled = true;
             channel.eventLoop().execute(() -> {
-                unflushed = false;
+                flushScheduled = false;
                 channel.flush();
             });
         }
@@ -80,45 +80,45 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        heard();
-        link.connected(this);
+        recordActivity();
+        endpoint.onConnected(this);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, SipMessage message) {
-        heard();
-        link.received(this, message);
+        recordActivity();
+        endpoint.onMessage(this, message);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         // Part of a message counts as a word too: only when no more comes is its sender stuck.
-        heard();
+        recordActivity();
         ctx.fireChannelReadComplete();
     }
 
-    private void heard() {
-        heardAt = link.now();
-        doubtful = false;
+    private void recordActivity() {
+        lastReceivedMs = endpoint.now();
+        suspect = false;
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        link.disconnected(this);
+        endpoint.onDisconnected(this);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        Throwable why = cause instanceof DecoderException && cause.getCause() != null ? cause.getCause() : cause;
+        Throwable reason = cause instanceof DecoderException && cause.getCause() != null ? cause.getCause() : cause;
         LOG.atInfo()
-                .addKeyValue("server", link.id())
-                .addKeyValue("out", out)
-                .addKeyValue("why", why.toString())
+                .addKeyValue("server", endpoint.id())
+                .addKeyValue("out", outstanding)
+                .addKeyValue("why", reason.toString())
                 .log("server's connection closed");
-        if (!(why instanceof IOException)
-                && !(why instanceof SipFormatException)
-                && !(why instanceof IllegalArgumentException)) {
-            LOG.atError().setCause(why).log("a defect met by a server's message");
+        if (!(reason instanceof IOException)
+                && !(reason instanceof SipFormatException)
+                && !(reason instanceof IllegalArgumentException)) {
+            LOG.atError().setCause(reason).log("a defect met by a server's message");
         }
         close();
     }
--- a/src/main/java/damsonseam/node/ServerListUpdate.java
+++ b/src/main/java/damsonseam/node/ServerListUpdate.java
@@ -27,16 +27,16 @@
     record Entry(String id, String address, int cell, State state, long upSince) {}
 
     /** The entries on the node's own clock, which reads {@code now} at the Unix millisecond {@code unix}. */
-    List<Pool.Server> servers(double now, long unix) {
+    List<Pool.Server> toServers(double nowMs, long unixMs) {
         List<Pool.Server> servers = new ArrayList<>(entries.size());
-        for (Entry e : entries) {
+        for (Entry entry : entries) {
             servers.add(new Pool.Server(
-                    e.id,
-                    e.cell,
-                    e.address,
+                    entry.id,
+                    entry.cell,
+                    entry.address,
                     0,
-                    e.state,
-                    e.upSince > 0 ? OptionalDouble.of(now - (unix - e.upSince)) : OptionalDouble.empty()));
+                    entry.state,
+                    entry.upSince > 0 ? OptionalDouble.of(nowMs - (unixMs - entry.upSince)) : OptionalDouble.empty()));
         }
         return servers;
     }
--- a/src/main/java/damsonseam/node/Shutdown.java
+++ b/src/main/java/damsonseam/node/Shutdown.java
@@ -16,92 +16,93 @@
 final class Shutdown {
     private static final Logger LOG = LoggerFactory.getLogger(Shutdown.class);
     /** The platform sends for 0.6 s after SIGTERM; what comes later than 0.7 s is none of this node's. */
-    private static final double TAKES_MS = 900;
+    private static final double ACCEPT_MS = 900;
     /** SIGKILL comes no sooner than this and the longest deadline, of which no more than 3 s count. */
-    private static final double KILL_AFTER_MS = 700;
+    private static final double MIN_KILL_DELAY_MS = 700;
 
-    private static final double MOST_DEADLINE_MS = 3_000;
+    private static final double MAX_DEADLINE_MS = 3_000;
     /** What giving up, closing and ending take on a small part of a core, and the time that callers have to read. */
     private static final double RESERVE_MS = 450;
 
-    private static final double CLOSE_MS = 200;
-    private static final double LOOK_MS = 10;
+    private static final double CLOSE_TIMEOUT_MS = 200;
+    private static final double CHECK_INTERVAL_MS = 10;
 
     private final Loop loop;
     private final Router router;
-    private final CallerListener callers;
-    private final ServerLinks servers;
-    private final Releases releases;
-    private final double giveUpAfter;
+    private final CallerListener callerListener;
+    private final ServerEndpoints serverEndpoints;
+    private final PendingReleases pendingReleases;
+    private final double giveUpAfterMs;
     private final CompletableFuture<Void> done = new CompletableFuture<>();
-    private double from;
-    private double closingAt;
+    private double startedAtMs;
+    private double closingAtMs;
 
     Shutdown(
             Loop loop,
             Router router,
-            CallerListener callers,
-            ServerLinks servers,
-            Releases releases,
+            CallerListener callerListener,
+            ServerEndpoints serverEndpoints,
+            PendingReleases pendingReleases,
             List<CallClass> classes) {
         this.loop = loop;
         this.router = router;
-        this.callers = callers;
-        this.servers = servers;
-        this.releases = releases;
-        double longest = classes.stream()
-                .mapToDouble(c -> c.deadline().orElse(MOST_DEADLINE_MS))
+        this.callerListener = callerListener;
+        this.serverEndpoints = serverEndpoints;
+        this.pendingReleases = pendingReleases;
+        double longestDeadlineMs = classes.stream()
+                .mapToDouble(callClass -> callClass.deadline().orElse(MAX_DEADLINE_MS))
                 .max()
-                .orElse(MOST_DEADLINE_MS);
-        giveUpAfter = Math.max(TAKES_MS, KILL_AFTER_MS + Math.min(MOST_DEADLINE_MS, longest) - RESERVE_MS);
+                .orElse(MAX_DEADLINE_MS);
+        giveUpAfterMs =
+                Math.max(ACCEPT_MS, MIN_KILL_DELAY_MS + Math.min(MAX_DEADLINE_MS, longestDeadlineMs) - RESERVE_MS);
     }
 
     /** Begins; {@code done} is complete when the process may end. */
-    CompletableFuture<Void> begin() {
-        from = loop.now();
-        look(from);
+    CompletableFuture<Void> start() {
+        startedAtMs = loop.now();
+        check(startedAtMs);
         return done;
     }
 
-    private void look(double now) {
-        double age = now - from;
-        if (closingAt > 0 && (callers.connections() == 0 || now - closingAt > CLOSE_MS)) {
+    private void check(double now) {
+        double elapsedMs = now - startedAtMs;
+        if (closingAtMs > 0 && (callerListener.connectionCount() == 0 || now - closingAtMs > CLOSE_TIMEOUT_MS)) {
             done.complete(null);
-        } else if (closingAt > 0 || age < TAKES_MS || age < giveUpAfter && !settled(now)) {
-            lookAgain(now);
+        } else if (closingAtMs > 0 || elapsedMs < ACCEPT_MS || elapsedMs < giveUpAfterMs && !isIdle(now)) {
+            scheduleCheck(now);
         } else {
             // What has come to the sockets in the meantime is taken first.
             loop.afterReads(() -> {
-                if (age >= giveUpAfter || settled(loop.now())) {
-                    close(loop.now());
+                if (elapsedMs >= giveUpAfterMs || isIdle(loop.now())) {
+                    beginClosing(loop.now());
                 }
-                lookAgain(loop.now());
+                scheduleCheck(loop.now());
             });
         }
     }
 
-    private void lookAgain(double now) {
-        loop.timers().set(now + LOOK_MS, this::look);
+    private void scheduleCheck(double now) {
+        loop.timers().set(now + CHECK_INTERVAL_MS, this::check);
     }
 
     /** Whether nothing is owed, and nothing that a caller has sent waits to be read. */
-    private boolean settled(double now) {
+    private boolean isIdle(double now) {
         return router.owed() == 0
-                && releases.underWay() == 0
-                && callers.accepting()
-                && now - callers.heardAt() > 2 * LOOK_MS;
+                && pendingReleases.awaitingConfirmation() == 0
+                && callerListener.isAccepting()
+                && now - callerListener.lastActivityMs() > 2 * CHECK_INTERVAL_MS;
     }
 
-    private void close(double now) {
-        closingAt = now;
+    private void beginClosing(double now) {
+        closingAtMs = now;
         LOG.atInfo()
                 .addKeyValue("owed", router.owed())
-                .addKeyValue("releases", releases.size())
-                .addKeyValue("callers", callers.connections())
+                .addKeyValue("releases", pendingReleases.size())
+                .addKeyValue("callers", callerListener.connectionCount())
                 .log("closing");
         router.giveUpAll(now);
         // Before the callers: a release that a server says from now on is for whoever it connects with next.
-        servers.close();
-        callers.finish();
+        serverEndpoints.close();
+        callerListener.finish();
     }
 }
--- a/src/main/java/damsonseam/sip/SipDecoder.java
+++ b/src/main/java/damsonseam/sip/SipDecoder.java
@@ -21,14 +21,14 @@
     /** Octets of one message at most. */
     public static final int MAX_MESSAGE_BYTES = 16 * 1024;
 
-    private static final String VERSION = "SIP/2.0";
-    private static final int LONGEST_TOKEN = 64;
+    private static final String SIP_VERSION = "SIP/2.0";
+    private static final int MAX_TOKEN_LENGTH = 64;
 
     private SipMessage head;
-    private int bodyLength;
-    private int headLength;
-    private int scanned;
-    private boolean broken;
+    private int bodyBytes;
+    private int headBytes;
+    private int scannedBytes;
+    private boolean failed;
 
     /** A decoder for one connection. */
     public SipDecoder() {
@@ -42,78 +42,81 @@
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        if (broken) {
+        if (failed) {
             in.skipBytes(in.readableBytes());
             return;
         }
         try {
-            while (step(in, out)) {
+            while (decodeNext(in, out)) {
                 // One part of a message each time.
             }
         } catch (SipFormatException e) {
-            broken = true;
+            failed = true;
             in.skipBytes(in.readableBytes());
             throw e;
         }
     }
 
     /** Reads the next line or body if it is there whole. */
-    private boolean step(ByteBuf in, List<Object> out) {
-        if (scanned < 0) {
-            return body(in, out);
+    private boolean decodeNext(ByteBuf in, List<Object> out) {
+        if (scannedBytes < 0) {
+            return decodeBody(in, out);
         }
-        int end = in.indexOf(in.readerIndex() + scanned, in.writerIndex(), (byte) '\n');
+        int end = in.indexOf(in.readerIndex() + scannedBytes, in.writerIndex(), (byte) '\n');
         if (end < 0) {
-            scanned = in.readableBytes();
-            check(headLength + scanned < MAX_MESSAGE_BYTES, "a line or head without an end");
+            scannedBytes = in.readableBytes();
+            check(headBytes + scannedBytes < MAX_MESSAGE_BYTES, "a line or head without an end");
             return false;
         }
         int length = end - in.readerIndex();
-        headLength += length + 1;
-        check(headLength <= MAX_MESSAGE_BYTES, "a head of more than " + MAX_MESSAGE_BYTES + " octets");
+        headBytes += length + 1;
+        check(headBytes <= MAX_MESSAGE_BYTES, "a head of more than " + MAX_MESSAGE_BYTES + " octets");
         check(length > 0 && in.getByte(end - 1) == '\r', "a line that does not end in CR LF");
         String line = in.toString(in.readerIndex(), length - 1, StandardCharsets.UTF_8);
         in.skipBytes(length + 1);
-        scanned = 0;
-        line(line);
+        scannedBytes = 0;
+        onLine(line);
         return true;
     }
 
-    private void line(String line) {
+    private void onLine(String line) {
         if (head == null) {
             // RFC 3261 7.5: empty lines before the first are passed over; they count toward the limit.
             if (!line.isEmpty()) {
-                head = firstLine(line);
+                head = parseStartLine(line);
             }
         } else if (line.isEmpty()) {
-            endOfHead();
+            finishHead();
         } else {
-            header(line);
+            parseHeader(line);
         }
     }
 
-    private static SipMessage firstLine(String line) {
-        int first = line.indexOf(' ');
-        int second = line.indexOf(' ', first + 1);
-        check(first > 0 && second > first, "a first line of less than three parts");
-        if (line.startsWith(VERSION)) {
-            String code = line.substring(first + 1, second);
+    private static SipMessage parseStartLine(String line) {
+        int firstSpace = line.indexOf(' ');
+        int secondSpace = line.indexOf(' ', firstSpace + 1);
+        check(firstSpace > 0 && secondSpace > firstSpace, "a first line of less than three parts");
+        if (line.startsWith(SIP_VERSION)) {
+            String code = line.substring(firstSpace + 1, secondSpace);
             check(
-                    first == VERSION.length()
+                    firstSpace == SIP_VERSION.length()
                             && code.length() == 3
-                            && code.chars().allMatch(SipDecoder::digit)
+                            && code.chars().allMatch(SipDecoder::isDigit)
                             && code.charAt(0) >= '1'
                             && code.charAt(0) <= '6',
                     "an answer without a status");
             return new SipMessage(
-                    "", "", Integer.parseInt(code), line.substring(second + 1), new SipHeaders(), new byte[0]);
+                    "", "", Integer.parseInt(code), line.substring(secondSpace + 1), new SipHeaders(), new byte[0]);
         }
-        String method = line.substring(0, first);
-        check(token(method) && line.substring(second + 1).equals(VERSION), "a first line that is none of SIP 2.0");
-        return new SipMessage(method, line.substring(first + 1, second), 0, "", new SipHeaders(), new byte[0]);
+        String method = line.substring(0, firstSpace);
+        check(
+                isToken(method) && line.substring(secondSpace + 1).equals(SIP_VERSION),
+                "a first line that is none of SIP 2.0");
+        return new SipMessage(
+                method, line.substring(firstSpace + 1, secondSpace), 0, "", new SipHeaders(), new byte[0]);
     }
 
-    private void header(String line) {
+    private void parseHeader(String line) {
         SipHeaders headers = head.headers();
         if (line.charAt(0) == ' ' || line.charAt(0) == '\t') {
             check(headers.size() > 0, "a continued line that continues nothing");
@@ -123,74 +126,74 @@
         int colon = line.indexOf(':');
         check(colon > 0, "a header without a colon");
         String name = line.substring(0, colon).stripTrailing();
-        check(token(name), "a header without a name");
+        check(isToken(name), "a header without a name");
         check(headers.size() < SipHeaders.MAX_HEADERS, "more than " + SipHeaders.MAX_HEADERS + " headers");
         String value = line.substring(colon + 1).strip();
         if (SipHeaders.longForm(name).equalsIgnoreCase(SipHeaders.CONTENT_LENGTH)) {
-            contentLength(value);
+            parseContentLength(value);
         }
         headers.add(SipHeaders.longForm(name), value);
     }
 
     /** Checked as it is read, and again with the whole head: a length that can't be is not waited for. */
-    private static int contentLength(String value) {
+    private static int parseContentLength(String value) {
         check(
-                !value.isEmpty() && value.length() <= 9 && value.chars().allMatch(SipDecoder::digit),
+                !value.isEmpty() && value.length() <= 9 && value.chars().allMatch(SipDecoder::isDigit),
                 "a Content-Length that is no length");
         int length = Integer.parseInt(value);
         check(length <= MAX_MESSAGE_BYTES, "a body of more than " + MAX_MESSAGE_BYTES + " octets");
         return length;
     }
 
-    private void endOfHead() {
+    private void finishHead() {
         SipHeaders headers = head.headers();
         String length = headers.get(SipHeaders.CONTENT_LENGTH);
         check(length != null, "no Content-Length");
         check(
-                !headers.repeats(SipHeaders.CONTENT_LENGTH)
-                        && !headers.repeats(SipHeaders.CALL_ID)
-                        && !headers.repeats(SipHeaders.CSEQ),
+                !headers.isRepeated(SipHeaders.CONTENT_LENGTH)
+                        && !headers.isRepeated(SipHeaders.CALL_ID)
+                        && !headers.isRepeated(SipHeaders.CSEQ),
                 "a header twice that stands once");
-        bodyLength = contentLength(length);
-        check(headLength + bodyLength <= MAX_MESSAGE_BYTES, "a message of more than " + MAX_MESSAGE_BYTES + " octets");
-        scanned = -1;
+        bodyBytes = parseContentLength(length);
+        check(headBytes + bodyBytes <= MAX_MESSAGE_BYTES, "a message of more than " + MAX_MESSAGE_BYTES + " octets");
+        scannedBytes = -1;
     }
 
-    private boolean body(ByteBuf in, List<Object> out) {
-        if (in.readableBytes() < bodyLength) {
+    private boolean decodeBody(ByteBuf in, List<Object> out) {
+        if (in.readableBytes() < bodyBytes) {
             return false;
         }
-        byte[] body = ByteBufUtil.getBytes(in, in.readerIndex(), bodyLength);
-        in.skipBytes(bodyLength);
+        byte[] body = ByteBufUtil.getBytes(in, in.readerIndex(), bodyBytes);
+        in.skipBytes(bodyBytes);
         out.add(new SipMessage(
                 head.method(), head.requestUri(), head.status(), head.reasonPhrase(), head.headers(), body));
         head = null;
-        headLength = 0;
-        scanned = 0;
+        headBytes = 0;
+        scannedBytes = 0;
         return true;
     }
 
-    private static boolean digit(int c) {
+    private static boolean isDigit(int c) {
         return c >= '0' && c <= '9';
     }
 
     /** A token of RFC 3261 25.1. */
-    private static boolean token(String text) {
-        if (text.isEmpty() || text.length() > LONGEST_TOKEN) {
+    private static boolean isToken(String text) {
+        if (text.isEmpty() || text.length() > MAX_TOKEN_LENGTH) {
             return false;
         }
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
-            if (!(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || digit(c) || "-.!%*_+`'~".indexOf(c) >= 0)) {
+            if (!(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || isDigit(c) || "-.!%*_+`'~".indexOf(c) >= 0)) {
                 return false;
             }
         }
         return true;
     }
 
-    private static void check(boolean holds, String found) {
-        if (!holds) {
-            throw new SipFormatException("found " + found);
+    private static void check(boolean valid, String problem) {
+        if (!valid) {
+            throw new SipFormatException("found " + problem);
         }
     }
 }
--- a/src/main/java/damsonseam/sip/SipEncoder.java
+++ b/src/main/java/damsonseam/sip/SipEncoder.java
@@ -6,14 +6,14 @@
 
 /** Writes messages; Content-Length is always the body's own. */
 public final class SipEncoder {
-    private static final int USUAL = 512;
+    private static final int INITIAL_CAPACITY_BYTES = 512;
 
     private SipEncoder() {}
 
     /** The octets of a message. */
     public static ByteBuf encode(ByteBufAllocator allocator, SipMessage message) {
-        ByteBuf out = allocator.buffer(USUAL + message.body().length);
-        StringBuilder text = new StringBuilder(USUAL);
+        ByteBuf out = allocator.buffer(INITIAL_CAPACITY_BYTES + message.body().length);
+        StringBuilder text = new StringBuilder(INITIAL_CAPACITY_BYTES);
         if (message.isRequest()) {
             text.append(message.method())
                     .append(' ')
--- a/src/main/java/damsonseam/sip/SipHeaders.java
+++ b/src/main/java/damsonseam/sip/SipHeaders.java
@@ -34,17 +34,17 @@
 
     /** The first value under a name, or null. */
     public String get(String name) {
-        int at = find(name, 0);
-        return at < 0 ? null : values.get(at);
+        int index = indexOf(name, 0);
+        return index < 0 ? null : values.get(index);
     }
 
     /** Whether a name stands more than once. */
-    boolean repeats(String name) {
-        int first = find(name, 0);
-        return first >= 0 && find(name, first + 1) >= 0;
+    boolean isRepeated(String name) {
+        int first = indexOf(name, 0);
+        return first >= 0 && indexOf(name, first + 1) >= 0;
     }
 
-    private int find(String name, int from) {
+    private int indexOf(String name, int from) {
         for (int i = from; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
                 return i;
@@ -57,18 +57,18 @@
         return names.size();
     }
 
-    String name(int at) {
-        return names.get(at);
+    String name(int index) {
+        return names.get(index);
     }
 
-    String value(int at) {
-        return values.get(at);
+    String value(int index) {
+        return values.get(index);
     }
 
     /** Continues the last header on the next line (RFC 3261 7.3.1). */
-    void fold(String more) {
+    void fold(String continuation) {
         int last = values.size() - 1;
-        values.set(last, (values.get(last) + ' ' + more).strip());
+        values.set(last, (values.get(last) + ' ' + continuation).strip());
     }
 
     /** The long form of a compact name; any other name as it is. */
--- a/src/test/java/damsonseam/node/CoordinatorCrossingsTest.java
+++ b/src/test/java/damsonseam/node/CoordinatorCrossingsTest.java
@@ -37,7 +37,7 @@
             // A coordinator that has nothing to tell before that number is asked once and no more.
             second.frame(2, 0, 0, 0, 0);
             second.frame(2, 2, 0, rig.servers.get(0).getLocalPort(), DRAINING);
-            Awaitility.await().until(() -> rig.node.listVersion() == 2);
+            Awaitility.await().until(() -> rig.node.serverListVersion() == 2);
             second.frame(2, 0, 0, 0, 0);
             rig.coordinator.setSoTimeout(400);
             assertNull(another(rig), "asked again for nothing");
@@ -78,7 +78,7 @@
             NodeRig.Coordinator second = rig.coordinator();
             assertEquals(1, second.from);
             second.frame(2, 2, 0, rig.servers.get(0).getLocalPort(), DRAINING);
-            Awaitility.await().until(() -> rig.node.listVersion() == 2);
+            Awaitility.await().until(() -> rig.node.serverListVersion() == 2);
         }
     }
 
@@ -90,11 +90,11 @@
             Standing s = rig.standing(server);
             NodeRig.Coordinator coordinator = rig.coordinator();
             coordinator.frame(2, 1, 1, rig.servers.get(1).getLocalPort(), 0);
-            Awaitility.await().until(() -> rig.node.listVersion() == 2);
+            Awaitility.await().until(() -> rig.node.serverListVersion() == 2);
             assertTrue(s.caller().quiet(100), "the call runs on");
             server.send(NodeRig.bye(s.invite().callId(), 16));
             assertNotNull(s.caller().next("BYE"));
-            Awaitility.await().until(() -> rig.node.links() == 1);
+            Awaitility.await().until(() -> rig.node.serverCount() == 1);
             coordinator.frame(3, 2, 0, rig.servers.get(0).getLocalPort(), 0);
             assertNotNull(rig.accept(0), "it is back");
         }
@@ -111,7 +111,7 @@
             rig.node.reload(rig.configuration(moved.getLocalPort()));
             NodeRig.Coordinator at = rig.keep(new NodeRig.Coordinator(moved.accept()));
             at.frame(2, 2, 0, port, DRAINING);
-            Awaitility.await().until(() -> rig.node.listVersion() == 2);
+            Awaitility.await().until(() -> rig.node.serverListVersion() == 2);
             try {
                 old.frame(3, 2, 0, port, 0);
             } catch (java.io.IOException e) {
@@ -120,7 +120,7 @@
             caller.send(rig.invite());
             assertTrue(caller.next().status() >= 400);
             assertTrue(server.quiet(100), "a set-up to a server that drains");
-            assertEquals(2, rig.node.listVersion());
+            assertEquals(2, rig.node.serverListVersion());
         }
     }
 
--- a/src/test/java/damsonseam/node/NodeRig.java
+++ b/src/test/java/damsonseam/node/NodeRig.java
@@ -148,7 +148,10 @@
 
     /** Waits until nothing is left of any call; what the node holds in several places agrees. */
     void empty() {
-        Awaitility.await().until(() -> node.beliefs(), b -> b.equals(new NodeServer.Beliefs(0, 0, 0, 0, 0, 0, 0)));
+        Awaitility.await()
+                .until(
+                        () -> node.consistencyCounts(),
+                        b -> b.equals(new NodeServer.ConsistencyCounts(0, 0, 0, 0, 0, 0, 0)));
     }
 
     /** What the node holds to be so agrees between its tables, as calls, attempts and standing calls go. */
@@ -156,12 +159,12 @@
         Awaitility.await()
                 .atMost(Duration.ofSeconds(5))
                 .until(
-                        () -> node.beliefs(),
-                        b -> b.attempts() == b.carried()
-                                && b.standing() == b.named()
-                                && b.calls() >= b.core()
-                                && b.attempts() <= b.owed()
-                                && b.calls() == b.owed() + b.standing());
+                        () -> node.consistencyCounts(),
+                        b -> b.attempts() == b.carriedAttempts()
+                                && b.establishedAtServers() == b.establishedAtCallers()
+                                && b.openCalls() >= b.coreCalls()
+                                && b.attempts() <= b.pendingAnswers()
+                                && b.openCalls() == b.pendingAnswers() + b.establishedAtServers());
     }
 
     <T extends AutoCloseable> T keep(T what) {
--- a/src/test/java/damsonseam/node/NodeServerTest.java
+++ b/src/test/java/damsonseam/node/NodeServerTest.java
@@ -65,7 +65,7 @@
             assertEquals(SipMessage.BYE, bye.method());
             assertEquals(16, cause(bye));
             assertEquals(invite.callId(), bye.callId());
-            Awaitility.await().until(() -> rig.node.open() == 0);
+            Awaitility.await().until(() -> rig.node.openCalls() == 0);
         }
     }
 
@@ -148,7 +148,7 @@
             server.next("INVITE");
             caller.close();
             assertEquals(invite.callId(), server.next("CANCEL").callId());
-            Awaitility.await().until(() -> rig.node.open() == 0);
+            Awaitility.await().until(() -> rig.node.openCalls() == 0);
         }
     }
 
@@ -172,7 +172,7 @@
             other.send(NodeRig.invite(NodeRig.id(900), "dest:0;width:1;via:-1;at:s-00000000", "0"));
             rig.caller();
             s.caller.close();
-            Awaitility.await().until(() -> rig.node.callers() == 2);
+            Awaitility.await().until(() -> rig.node.callerConnections() == 2);
             s.server.send(NodeRig.bye(s.invite.callId(), 16));
             assertEquals(s.invite.callId(), other.next("BYE").callId());
         }
@@ -196,9 +196,9 @@
         try (NodeRig rig = new NodeRig(1)) {
             Standing s = standing(rig);
             s.caller.close();
-            Awaitility.await().until(() -> rig.node.callers() == 0);
+            Awaitility.await().until(() -> rig.node.callerConnections() == 0);
             s.server.send(NodeRig.bye(s.invite.callId(), 16));
-            Awaitility.await().until(() -> rig.node.open() == 0);
+            Awaitility.await().until(() -> rig.node.openCalls() == 0);
             SipSocket knocks = rig.caller();
             SipSocket other = rig.caller();
             other.send(rig.invite());
@@ -217,7 +217,7 @@
             assertTrue(caller.quiet(100), "it expects no answer");
             server.send(NodeRig.bye(id, 16));
             assertEquals(id, caller.next("BYE").callId());
-            Awaitility.await().until(() -> rig.node.open() == 0);
+            Awaitility.await().until(() -> rig.node.openCalls() == 0);
         }
     }
 
@@ -285,7 +285,7 @@
             coordinator.frame(2, 2, 7, rig.servers.get(0).getLocalPort(), 0);
             assertEquals(41, cause(s.caller.next("BYE")));
             coordinator.frame(3, 2, 0, rig.servers.get(0).getLocalPort(), 2);
-            Awaitility.await().until(() -> rig.node.listVersion() == 3 && rig.node.links() == 1);
+            Awaitility.await().until(() -> rig.node.serverListVersion() == 3 && rig.node.serverCount() == 1);
         }
     }
 
@@ -416,12 +416,12 @@
             SipSocket server = rig.accept(0);
             SipSocket caller = rig.caller();
             coordinator.frame(2, 2, 0, rig.servers.get(0).getLocalPort(), 1);
-            Awaitility.await().until(() -> rig.node.listVersion() == 2);
+            Awaitility.await().until(() -> rig.node.serverListVersion() == 2);
             caller.send(rig.invite());
             assertTrue(caller.next().status() >= 400);
             assertTrue(server.quiet(100), "a set-up to a server that drains");
             coordinator.frame(3, 2, 0, rig.servers.get(0).getLocalPort(), 2);
-            Awaitility.await().until(() -> rig.node.links() == 0);
+            Awaitility.await().until(() -> rig.node.serverCount() == 0);
         }
     }
 
@@ -432,7 +432,7 @@
             NodeRig.Coordinator first = rig.coordinator();
             first.frame(2, 2, 7, port, 0);
             first.frame(2, 2, 7, port, 2);
-            Awaitility.await().until(() -> rig.node.listVersion() == 2);
+            Awaitility.await().until(() -> rig.node.serverListVersion() == 2);
             first.raw(new byte[] {0, 0, 0, 36, 0, 0, 0});
             first.close();
             NodeRig.Coordinator second = rig.coordinator();
@@ -455,7 +455,7 @@
                 ServerSocket moved = NodeRig.listen()) {
             NodeRig.Coordinator old = rig.coordinator();
             old.frame(2, 2, 0, rig.servers.get(0).getLocalPort(), 0);
-            Awaitility.await().until(() -> rig.node.listVersion() == 2);
+            Awaitility.await().until(() -> rig.node.serverListVersion() == 2);
             Standing s = standing(rig);
             rig.node.reload(NodeConfig.fromJson(new ObjectMapper().readTree(rig.config(moved.getLocalPort()))));
             NodeRig.Coordinator at = rig.keep(new NodeRig.Coordinator(moved.accept()));
@@ -510,10 +510,10 @@
                 }
             }
             Awaitility.await()
-                    .until(() -> rig.node.listVersion() == 601
-                            && rig.node.links() == 1
-                            && rig.node.callers() == 0
-                            && rig.node.open() == 0);
+                    .until(() -> rig.node.serverListVersion() == 601
+                            && rig.node.serverCount() == 1
+                            && rig.node.callerConnections() == 0
+                            && rig.node.openCalls() == 0);
         }
     }
 
@@ -551,7 +551,7 @@
                 }
             }
             assertTrue(server.quiet(50), "something of this reached a server");
-            assertEquals(0, rig.node.open());
+            assertEquals(0, rig.node.openCalls());
         }
     }
 
@@ -583,7 +583,7 @@
             }
             SipSocket late = rig.caller();
             assertNotNull(late);
-            assertTrue(rig.node.callers() <= 256 - 72 - 256 / 6);
+            assertTrue(rig.node.callerConnections() <= 256 - 72 - 256 / 6);
             server.send(NodeRig.stands(out));
             assertEquals(200, caller.next().status(), "a connection with an open call gave way");
         }
@@ -627,7 +627,7 @@
             for (int i = 0; i < 300; i++) {
                 assertTrue(caller.next().status() >= 400);
             }
-            Awaitility.await().until(() -> rig.node.open() == 0);
+            Awaitility.await().until(() -> rig.node.openCalls() == 0);
             assertFalse(rig.node.counters().taken < 300);
         }
     }
@@ -650,7 +650,7 @@
                 }
             });
             writer.start();
-            Awaitility.await().until(() -> rig.node.callers() == 0);
+            Awaitility.await().until(() -> rig.node.callerConnections() == 0);
             writer.join();
         }
     }
--- a/src/test/java/damsonseam/node/ReleaseCrossingsTest.java
+++ b/src/test/java/damsonseam/node/ReleaseCrossingsTest.java
@@ -49,7 +49,7 @@
             Standing own = rig.standing(server);
             Standing stranger = rig.standing(server);
             s.caller().close();
-            Awaitility.await().until(() -> rig.node.callers() == 2);
+            Awaitility.await().until(() -> rig.node.callerConnections() == 2);
             server.send(NodeRig.bye(s.invite().callId(), 16));
             // Heard of last, the stranger is told first; it knows no such call and does not answer.
             assertEquals(s.invite().callId(), stranger.caller().next("BYE").callId());
@@ -111,10 +111,10 @@
             SipSocket second = rig.caller();
             SipMessage names = NodeRig.invite(NodeRig.id(701), "dest:0;width:1;via:-1;at:s-00000000", "0");
             first.send(names);
-            Awaitility.await().until(() -> rig.node.open() == 1);
+            Awaitility.await().until(() -> rig.node.openCalls() == 1);
             second.send(names);
             first.close();
-            Awaitility.await().until(() -> rig.node.callers() == 1);
+            Awaitility.await().until(() -> rig.node.callerConnections() == 1);
             server.send(NodeRig.bye(names.callId(), 16));
             assertEquals(names.callId(), second.next("BYE").callId());
             rig.empty();
--- a/src/test/java/damsonseam/node/ServerCrossingsTest.java
+++ b/src/test/java/damsonseam/node/ServerCrossingsTest.java
@@ -120,8 +120,10 @@
             rig.node
                     .loop()
                     .eventLoop()
-                    .submit(() ->
-                            rig.node.listener().pipeline().fireExceptionCaught(new IOException("Too many open files")))
+                    .submit(() -> rig.node
+                            .callerListener()
+                            .pipeline()
+                            .fireExceptionCaught(new IOException("Too many open files")))
                     .get();
             long from = System.nanoTime();
             rig.caller();
@@ -141,8 +143,10 @@
                 rig.keep(SipSocket.to(rig.node.address()));
             }
             int most = 256 - 72 - servers;
-            Awaitility.await().until(() -> rig.node.listener().peak() >= most);
-            assertTrue(rig.node.listener().peak() <= most + 4, "at most those accepted in one turn beyond");
+            Awaitility.await().until(() -> rig.node.callerListener().peakConnections() >= most);
+            assertTrue(
+                    rig.node.callerListener().peakConnections() <= most + 4,
+                    "at most those accepted in one turn beyond");
             first.send(rig.invite());
             assertNotNull(rig.coordinator(), "the coordinator's own place");
         }
