--- a/src/main/java/damsonseam/node/CoordinatorClient.java
+++ b/src/main/java/damsonseam/node/CoordinatorClient.java
@@ -121,7 +121,7 @@
                                         new FrameHandler(connectionGeneration));
                     }
                 })
-                .connect(address.socket());
+                .connect(address.toSocketAddress());
         connectFuture.addListener(f -> {
             if (!f.isSuccess()) {
                 onConnectionLost(connectionGeneration, f.cause().toString());
--- a/src/main/java/damsonseam/node/NodeConfig.java
+++ b/src/main/java/damsonseam/node/NodeConfig.java
@@ -61,11 +61,11 @@
         flatten("", require(root, "settings"), paths);
         return new NodeConfig(
                 root.path("name").asText("node"),
-                Endpoint.of(require(root, "listen").asText()),
+                Endpoint.parse(require(root, "listen").asText()),
                 Long.parseUnsignedLong(require(root, "seed").asText(), SEED_RADIX),
                 Math.max(MIN_SOCKETS, limits.path("sockets").asInt(MIN_SOCKETS)),
                 limits.path("memory_mb").asInt(0),
-                Endpoint.of(require(root, "coordinator").asText()),
+                Endpoint.parse(require(root, "coordinator").asText()),
                 parseUpdates(root.path("known").path("updates")),
                 new StartSettings(paths, expected -> new IllegalArgumentException("settings: expected " + expected)));
     }
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -130,7 +130,7 @@
             loop.kick();
             return null;
         });
-        callerListener.bind(config.listen().socket());
+        callerListener.bind(config.listen().toSocketAddress());
         LOG.atInfo()
                 .addKeyValue("node", config.name())
                 .addKeyValue("listen", callerListener.address().toString())
--- a/src/main/java/damsonseam/node/ServerEndpoint.java
+++ b/src/main/java/damsonseam/node/ServerEndpoint.java
@@ -257,7 +257,7 @@
                                 .addLast(decoder, new ServerConnection(ServerEndpoint.this, channel, decoder));
                     }
                 })
-                .connect(Endpoint.of(server.address()).socket())
+                .connect(Endpoint.parse(server.address()).toSocketAddress())
                 .addListener(future -> {
                     if (!future.isSuccess()) {
                         onConnectFailed(future.cause());
