--- a/src/main/java/damsonseam/adapter/Wire.java
+++ b/src/main/java/damsonseam/adapter/Wire.java
@@ -9,8 +9,8 @@
 import damsonseam.Front.Result;
 import damsonseam.Front.ServerEntry;
 import damsonseam.Front.State;
-import damsonseam.settings.ReportFields;
-import damsonseam.settings.StartSettings;
+import damsonseam.settings.LoadReportParser;
+import damsonseam.settings.PlatformSettings;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
@@ -30,7 +30,7 @@
     private static final int NOTE_BITS = 16;
     private static final int NOTE_BEYOND_FULL = 18;
 
-    private record Instance(Front front, ReportFields reportFields) {}
+    private record Instance(Front front, LoadReportParser reportFields) {}
 
     private final BufferedReader in;
     private final Writer out;
@@ -147,9 +147,9 @@
     private void boot(Line line) {
         int number = line.small("the instance");
         long seed = line.whole("the seed");
-        StartSettings start = StartSettings.pairs(line.rest(), line::wrong);
-        Front front = new Decide(start.settings(seed), new Reply(reply, number));
-        instances.put(number, new Instance(front, new ReportFields(start.reportFields(), ',')));
+        PlatformSettings start = PlatformSettings.parse(line.rest(), line::wrong);
+        Front front = new Decide(start.moduleSettings(seed), new Reply(reply, number));
+        instances.put(number, new Instance(front, new LoadReportParser(start.reportFields(), ',')));
     }
 
     private Instance instance(Line line) {
@@ -289,7 +289,7 @@
     }
 
     private static Report report(Instance instance, Line line) {
-        return instance.reportFields().read(line.rest(), line::wrong);
+        return instance.reportFields().parse(line.rest(), line::wrong);
     }
 
     private static byte[] bytes(Line line) {
--- a/src/main/java/damsonseam/bench/Baseline.java
+++ b/src/main/java/damsonseam/bench/Baseline.java
@@ -1,8 +1,8 @@
 package damsonseam.bench;
 
 import damsonseam.config.FrontSettings;
-import damsonseam.overload.Admission;
-import damsonseam.overload.Gate;
+import damsonseam.overload.AdmissionController;
+import damsonseam.overload.LevelAdmissionController;
 import java.util.SplittableRandom;
 
 /** What admits calls at a front: the project's own gate, and what it is compared with. */
@@ -10,33 +10,34 @@
     /** The project's gate. */
     LEVELS {
         @Override
-        Admission admission(FrontSettings settings) {
-            return new Gate(settings.levels(), settings.ranks().count(), 1);
+        AdmissionController admission(FrontSettings settings) {
+            return new LevelAdmissionController(
+                    settings.levels(), settings.ranks().count(), 1);
         }
     },
     /** No shedding: only the bounds of lines and tables. */
     NONE {
         @Override
-        Admission admission(FrontSettings settings) {
-            return (now, rank, sender, load) -> Admission.TAKE;
+        AdmissionController admission(FrontSettings settings) {
+            return (now, rank, sender, load) -> AdmissionController.ADMIT;
         }
     },
     /** A plain limit of the queue, whatever a call is worth. */
     QUEUE {
         @Override
-        Admission admission(FrontSettings settings) {
-            return (now, rank, sender, load) -> load.queuedFrom(0) < 256 ? Admission.TAKE : 500;
+        AdmissionController admission(FrontSettings settings) {
+            return (now, rank, sender, load) -> load.queuedAtOrAbove(0) < 256 ? AdmissionController.ADMIT : 500;
         }
     },
     /** Sheds at random the share that the same wait asks for, whatever a call is worth. */
     RANDOM {
         @Override
-        Admission admission(FrontSettings settings) {
-            Gate one = new Gate(settings.levels(), 1, 1);
+        AdmissionController admission(FrontSettings settings) {
+            LevelAdmissionController one = new LevelAdmissionController(settings.levels(), 1, 1);
             SplittableRandom random = new SplittableRandom(1);
             return (now, rank, sender, load) -> one.decide(now, 0, random.nextLong(), load);
         }
     };
 
-    abstract Admission admission(FrontSettings settings);
+    abstract AdmissionController admission(FrontSettings settings);
 }
--- a/src/main/java/damsonseam/bench/MemoryBench.java
+++ b/src/main/java/damsonseam/bench/MemoryBench.java
@@ -10,14 +10,14 @@
 import damsonseam.config.Span;
 import damsonseam.core.CallRecord;
 import damsonseam.core.CallTable;
-import damsonseam.core.Candidates;
-import damsonseam.core.Circuits;
-import damsonseam.core.Pool;
-import damsonseam.core.Ports;
+import damsonseam.core.CallTracer;
+import damsonseam.core.CircuitAllocator;
+import damsonseam.core.LookupResult;
 import damsonseam.core.Router;
+import damsonseam.core.RouterPorts;
 import damsonseam.core.RouterSettings;
-import damsonseam.core.Story;
-import damsonseam.core.Timers;
+import damsonseam.core.ServerList;
+import damsonseam.core.TimerWheel;
 import damsonseam.ss7.Isup;
 import damsonseam.ss7.TrunkGroup;
 import java.util.ArrayList;
@@ -34,7 +34,7 @@
 
     /** Opens so many calls, measures, answers them all, and measures again. */
     public static Map<String, Object> run(int count) throws InterruptedException {
-        Timers timers = new Timers(0);
+        TimerWheel timers = new TimerWheel(0);
         FrontSettings settings = new FrontSettings(
                 new FrontSettings.Identity("memory", 1, 1L),
                 new FrontSettings.Enumeration(new Endpoint("127.0.0.1", 0), "e164.example.org", null, null),
@@ -47,9 +47,9 @@
                 null,
                 null);
         Trunks trunks = new Trunks(timers);
-        List<Pool.Server> servers = new ArrayList<>();
+        List<ServerList.Server> servers = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(new Pool.Server("s" + i, i, "127.0.0.1:1", 2 + i, State.RUNNING, OptionalDouble.empty()));
+            servers.add(new ServerList.Server("s" + i, i, "127.0.0.1:1", 2 + i, State.RUNNING, OptionalDouble.empty()));
         }
         List<Long> lookups = new ArrayList<>();
         // The simplest module that sends: what is measured is the path, and the real one holds no standing calls.
@@ -61,32 +61,32 @@
                 (call, number, deadline) -> lookups.add(call),
                 trunks,
                 trunks,
-                Story.NONE);
+                CallTracer.NONE);
         trunks.router = router;
-        router.directory(0, 1, true, servers);
+        router.serverListUpdated(0, 1, true, servers);
         long before = heap();
         double now = 1;
         for (int i = 0; i < count; i++) {
-            router.offered(now, String.format("5982100%07d", i), 0, 600_000, 0, false, (a, b, c) -> {});
+            router.callReceived(now, String.format("5982100%07d", i), 0, 600_000, 0, false, (a, b, c) -> {});
         }
         long lookingUp = heap();
         int standing = 0;
         for (long call : lookups) {
             now += 0.2;
-            router.lookedUp(now, call, Candidates.of(List.of("s" + standing % SERVERS)));
-            router.settle(now);
+            router.lookupCompleted(now, call, LookupResult.found(List.of("s" + standing % SERVERS)));
+            router.endBatch(now);
             trunks.answerAll(now);
-            router.settle(now);
+            router.endBatch(now);
             standing++;
         }
         lookups.clear();
         long stands = heap();
         Map<String, Object> report = new LinkedHashMap<>();
         report.put("calls", count);
-        report.put("open", router.open());
-        report.put("stood", router.counters().stood);
+        report.put("open", router.openCalls());
+        report.put("stood", router.counters().established);
         report.put("octetsLookingUp", (lookingUp - before) / count);
-        report.put("octetsStanding", (stands - before) / Math.max(1, router.open()));
+        report.put("octetsStanding", (stands - before) / Math.max(1, router.openCalls()));
         return report;
     }
 
@@ -102,18 +102,18 @@
         return least;
     }
 
-    private static final class Trunks implements Ports.Trunks, Ports.Directory {
+    private static final class Trunks implements RouterPorts.ServerSignalling, RouterPorts.Directory {
         private final Map<String, TrunkGroup> groups = new LinkedHashMap<>();
         private final List<Runnable> answers = new ArrayList<>();
         private Router router;
 
-        Trunks(Timers timers) {
+        Trunks(TimerWheel timers) {
             for (int i = 0; i < SERVERS; i++) {
                 String id = "s" + i;
                 groups.put(
                         id,
                         new TrunkGroup(
-                                new Circuits(Circuits.MOST, true),
+                                new CircuitAllocator(CircuitAllocator.MAX_CIRCUITS, true),
                                 timers,
                                 TrunkGroup.Times.Q764,
                                 1,
@@ -128,7 +128,7 @@
 
                                     @Override
                                     public void stands(double now, long call, int attempt, Report report) {
-                                        router.stands(now, call, attempt, report);
+                                        router.callEstablished(now, call, attempt, report);
                                     }
 
                                     @Override
@@ -140,12 +140,12 @@
                                             Reason reason,
                                             OptionalDouble toldWait,
                                             Report report) {
-                                        router.ended(now, call, attempt, result, reason, toldWait, report);
+                                        router.attemptEnded(now, call, attempt, result, reason, toldWait, report);
                                     }
 
                                     @Override
                                     public void released(double now, long call, int attempt) {
-                                        router.released(now, call, attempt);
+                                        router.releaseConfirmed(now, call, attempt);
                                     }
                                 }));
                 groups.get(id).connectionUp(0);
@@ -159,25 +159,26 @@
         }
 
         @Override
-        public Ports.NotSent setUp(double now, String server, long call, int attempt, double until, CallRecord record) {
+        public RouterPorts.SendFailure sendSetUp(
+                double now, String server, long call, int attempt, double until, CallRecord record) {
             return groups.get(server).setUp(call, attempt, record.number(), 10)
                     ? null
-                    : new Ports.NotSent(Result.FULL, Reason.NO_LINE);
+                    : new RouterPorts.SendFailure(Result.FULL, Reason.NO_LINE);
         }
 
         @Override
-        public double release(double now, String server, long call, int attempt, boolean timedOut) {
+        public double sendRelease(double now, String server, long call, int attempt, boolean timedOut) {
             groups.get(server).release(now, call, attempt, Isup.NORMAL_CLEARING);
             return now;
         }
 
         @Override
-        public void probe(double now, String server) {}
+        public void sendProbe(double now, String server) {}
 
         @Override
-        public void fetch() {}
+        public void requestServerList() {}
 
         @Override
-        public void follow() {}
+        public void subscribeToUpdates() {}
     }
 }
--- a/src/main/java/damsonseam/cli/NodeCommand.java
+++ b/src/main/java/damsonseam/cli/NodeCommand.java
@@ -52,7 +52,7 @@
         // The story of each call costs as much as the call: it is told where TRACE is asked for.
         Level level = Level.toLevel(System.getenv("DAMSONSEAM_LOG"), Level.INFO);
         Logging.configure(null, level);
-        ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger(CallLog.NAME))
+        ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger(CallLog.LOGGER_NAME))
                 .setLevel(level.isGreaterOrEqual(Level.DEBUG) ? Level.WARN : Level.INFO);
         try {
             if (signals.ended()) {
--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -5,7 +5,7 @@
 import damsonseam.core.NumberPlan;
 import damsonseam.dns.E164Name;
 import damsonseam.overload.OverloadSettings;
-import damsonseam.overload.Ranks;
+import damsonseam.overload.WorthRanks;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -337,8 +337,8 @@
     }
 
     /** The ranks of the classes by worth. */
-    public Ranks ranks() {
-        return new Ranks(classes.stream().map(ClassOfCall::worth).toList());
+    public WorthRanks ranks() {
+        return new WorthRanks(classes.stream().map(ClassOfCall::worth).toList());
     }
 
     /** Time between beats of the front's loop, in milliseconds: a quarter of the module's own. */
--- a/src/main/java/damsonseam/core/CallRecord.java
+++ b/src/main/java/damsonseam/core/CallRecord.java
@@ -13,26 +13,26 @@
     public enum Phase {
         LOOKING_UP,
         TRYING,
-        STANDING,
-        OVER
+        ESTABLISHED,
+        CLOSED
     }
 
     private final long id;
     private final String number;
     private final int callClass;
-    private final boolean redialled;
-    private final double takenAt;
+    private final boolean isRedial;
+    private final double receivedAt;
     private final double deadline;
-    private Ports.Caller caller;
+    private RouterPorts.Caller caller;
     private Phase phase = Phase.LOOKING_UP;
     private int attempts;
     private String server;
-    private boolean out;
+    private boolean hasPendingAttempt;
     private double sentAt;
-    private Result releasing;
-    private double releasedAt;
-    private Timers.Timer deadlineTimer;
-    private Timers.Timer attemptTimer;
+    private Result releaseOutcome;
+    private double releaseStartedAt;
+    private TimerWheel.Timer deadlineTimer;
+    private TimerWheel.Timer attemptTimer;
 
     CallRecord(
             long id,
@@ -41,12 +41,12 @@
             boolean redialled,
             double takenAt,
             double deadline,
-            Ports.Caller caller) {
+            RouterPorts.Caller caller) {
         this.id = id;
         this.number = number;
         this.callClass = callClass;
-        this.redialled = redialled;
-        this.takenAt = takenAt;
+        this.isRedial = redialled;
+        this.receivedAt = takenAt;
         this.deadline = deadline;
         this.caller = caller;
     }
@@ -67,13 +67,13 @@
     }
 
     /** Whether the caller said that it dials again. */
-    public boolean redialled() {
-        return redialled;
+    public boolean isRedial() {
+        return isRedial;
     }
 
     /** When the front took it. */
-    public double takenAt() {
-        return takenAt;
+    public double receivedAt() {
+        return receivedAt;
     }
 
     /** When its caller gives up; the final answer goes out before. */
@@ -97,8 +97,8 @@
     }
 
     /** Whether an attempt is out and unanswered. */
-    public boolean out() {
-        return out;
+    public boolean hasPendingAttempt() {
+        return hasPendingAttempt;
     }
 
     /** When the last attempt went out. */
@@ -106,77 +106,77 @@
         return sentAt;
     }
 
-    void found() {
-        move(Phase.LOOKING_UP, Phase.TRYING);
+    void startTrying() {
+        transition(Phase.LOOKING_UP, Phase.TRYING);
     }
 
-    int send(String to, double now) {
-        require(phase == Phase.TRYING && !out, "a second attempt while one is out");
+    int startAttempt(String to, double now) {
+        require(phase == Phase.TRYING && !hasPendingAttempt, "a second attempt while one is out");
         server = to;
-        out = true;
+        hasPendingAttempt = true;
         sentAt = now;
         return attempts++;
     }
 
-    void attemptOver() {
-        require(out, "the end of an attempt that is not out");
-        out = false;
-        releasing = null;
+    void endAttempt() {
+        require(hasPendingAttempt, "the end of an attempt that is not out");
+        hasPendingAttempt = false;
+        releaseOutcome = null;
     }
 
     /** The attempt is given up with this result; it counts as out until its release is proved or waited out. */
-    void release(Result as, double now) {
-        require(out && releasing == null, "a release of an attempt that is not out");
-        releasing = as;
-        releasedAt = now;
+    void startRelease(Result as, double now) {
+        require(hasPendingAttempt && releaseOutcome == null, "a release of an attempt that is not out");
+        releaseOutcome = as;
+        releaseStartedAt = now;
     }
 
     /** What an attempt that is being released ends in, else null. */
-    Result releasing() {
-        return releasing;
+    Result releaseOutcome() {
+        return releaseOutcome;
     }
 
     /** When the attempt that is being released was given up. */
-    double releasedAt() {
-        return releasedAt;
+    double releaseStartedAt() {
+        return releaseStartedAt;
     }
 
-    void stand() {
-        require(out && releasing == null, "a call that stands without an attempt");
-        out = false;
-        move(Phase.TRYING, Phase.STANDING);
+    void establish() {
+        require(hasPendingAttempt && releaseOutcome == null, "a call that stands without an attempt");
+        hasPendingAttempt = false;
+        transition(Phase.TRYING, Phase.ESTABLISHED);
     }
 
     /** Ends the call; returns its caller the first time that one is owed an answer, else null. */
-    Ports.Caller close() {
-        phase = Phase.OVER;
+    RouterPorts.Caller close() {
+        phase = Phase.CLOSED;
         return takeCaller();
     }
 
     /** Hands out the caller once, so that no call is answered twice. */
-    Ports.Caller takeCaller() {
-        Ports.Caller owed = caller;
+    RouterPorts.Caller takeCaller() {
+        RouterPorts.Caller owed = caller;
         caller = null;
         return owed;
     }
 
-    boolean isAttempt(int attempt) {
+    boolean isCurrentAttempt(int attempt) {
         return attempt == attempts - 1;
     }
 
-    Timers.Timer swapAttemptTimer(Timers.Timer timer) {
-        Timers.Timer old = attemptTimer;
+    TimerWheel.Timer replaceAttemptTimer(TimerWheel.Timer timer) {
+        TimerWheel.Timer old = attemptTimer;
         attemptTimer = timer;
         return old;
     }
 
-    Timers.Timer swapDeadlineTimer(Timers.Timer timer) {
-        Timers.Timer old = deadlineTimer;
+    TimerWheel.Timer replaceDeadlineTimer(TimerWheel.Timer timer) {
+        TimerWheel.Timer old = deadlineTimer;
         deadlineTimer = timer;
         return old;
     }
 
-    private void move(Phase from, Phase to) {
+    private void transition(Phase from, Phase to) {
         require(phase == from, "no way from " + phase + " to " + to);
         phase = to;
     }
--- a/src/main/java/damsonseam/core/CallTable.java
+++ b/src/main/java/damsonseam/core/CallTable.java
@@ -11,7 +11,7 @@
  * under 2^24 calls a second in the mean.
  */
 public final class CallTable {
-    private static final int SHIFT = 24;
+    private static final int ID_SEQUENCE_BITS = 24;
 
     private final Long2ObjectHashMap<CallRecord> calls = new Long2ObjectHashMap<>();
     private final int limit;
@@ -28,11 +28,11 @@
             throw new IllegalArgumentException("a call table needs room for one call, not " + limit);
         }
         this.limit = limit;
-        nextId = (startSecond << SHIFT) + 1;
+        nextId = (startSecond << ID_SEQUENCE_BITS) + 1;
     }
 
     /** Whether one more call would be too many. */
-    public boolean full() {
+    public boolean isFull() {
         return calls.size() >= limit;
     }
 
@@ -59,7 +59,7 @@
     }
 
     /** A copy of the open calls, for the end of the front and for reports. */
-    public List<CallRecord> all() {
+    public List<CallRecord> snapshot() {
         return new ArrayList<>(calls.values());
     }
 }
--- a/src/main/java/damsonseam/core/Circuits.java
+++ b/src/main/java/damsonseam/core/CircuitAllocator.java
@@ -9,9 +9,9 @@
  * around from the last circuit taken, so that one just released rests longest; the codes that this end controls
  * go first (Q.764 2.9.1), which keeps dual seizure rare.
  */
-public final class Circuits {
+public final class CircuitAllocator {
     /** Most circuits of a group: a code has 12 bits. */
-    public static final int MOST = 4095;
+    public static final int MAX_CIRCUITS = 4095;
 
     private final int size;
     private final int controlledParity;
@@ -20,18 +20,18 @@
     private final BitSet resetting = new BitSet();
     private final BitSet idleOwn = new BitSet();
     private final BitSet idleOther = new BitSet();
-    private int idle;
+    private int setIdle;
     private int last;
 
     /**
      * A group with all circuits idle.
      *
-     * @param size the number of circuits, 1 to {@link #MOST}
+     * @param size the number of circuits, 1 to {@link #MAX_CIRCUITS}
      * @param controlsEven whether this end, having the higher point code, controls the even codes
      */
-    public Circuits(int size, boolean controlsEven) {
-        if (size < 1 || size > MOST) {
-            throw new IllegalArgumentException("a trunk group has 1 to " + MOST + " circuits, not " + size);
+    public CircuitAllocator(int size, boolean controlsEven) {
+        if (size < 1 || size > MAX_CIRCUITS) {
+            throw new IllegalArgumentException("a trunk group has 1 to " + MAX_CIRCUITS + " circuits, not " + size);
         }
         this.size = size;
         controlledParity = controlsEven ? 0 : 1;
@@ -59,28 +59,28 @@
     }
 
     /** The far end seized this circuit. */
-    public void takeIncoming(int code) {
+    public void seizeIncoming(int code) {
         set(taken, code, true);
     }
 
     /** The release of this circuit, or its reset, is complete. */
-    public void idle(int code) {
+    public void setIdle(int code) {
         set(resetting, code, false);
         set(taken, code, false);
     }
 
-    /** The circuit is being reset and is not used until {@link #idle}. */
-    public void reset(int code) {
+    /** The circuit is being reset and is not used until {@link #setIdle}. */
+    public void startReset(int code) {
         set(resetting, code, true);
     }
 
     /** The far end blocks this circuit for new calls, or no longer does (Q.764 2.9.2). */
-    public void block(int code, boolean on) {
+    public void setBlocked(int code, boolean on) {
         set(blocked, code, on);
     }
 
     private void set(BitSet of, int code, boolean on) {
-        if (!has(code)) {
+        if (!contains(code)) {
             throw new IllegalArgumentException("circuit " + code + " of a group of " + size);
         }
         of.set(code, on);
@@ -88,26 +88,26 @@
     }
 
     private void update(int code) {
-        BitSet of = controls(code) ? idleOwn : idleOther;
+        BitSet of = isControlled(code) ? idleOwn : idleOther;
         boolean now = !taken.get(code) && !blocked.get(code) && !resetting.get(code);
         if (now != of.get(code)) {
             of.set(code, now);
-            idle += now ? 1 : -1;
+            setIdle += now ? 1 : -1;
         }
     }
 
     /** Circuits on which a set-up could go out. */
-    public int free() {
-        return idle;
+    public int idleCount() {
+        return setIdle;
     }
 
     /** Whether this code belongs to the group. */
-    public boolean has(int code) {
+    public boolean contains(int code) {
         return code >= 1 && code <= size;
     }
 
     /** Whether this end wins when both seize this circuit at once (Q.764 2.9.1.4). */
-    public boolean controls(int code) {
+    public boolean isControlled(int code) {
         return code % 2 == controlledParity;
     }
 
--- a/src/main/java/damsonseam/core/FinalAnswer.java
+++ b/src/main/java/damsonseam/core/FinalAnswer.java
@@ -5,10 +5,10 @@
  *
  * @param kind what it is
  * @param server the server at which the call stands, or empty
- * @param returnAfter how long the caller is asked to stay away, in milliseconds, 0 for no advice
- * @param why a short reason for logs and for the caller
+ * @param retryAfterMs how long the caller is asked to stay away, in milliseconds, 0 for no advice
+ * @param reason a short reason for logs and for the caller
  */
-public record FinalAnswer(Kind kind, String server, double returnAfter, String why) {
+public record FinalAnswer(Kind kind, String server, double retryAfterMs, String reason) {
 
     /** The three ways in which a call is answered; {@code UNKNOWN_NUMBER} is a failure that dialling again
      * does not mend. */
@@ -19,7 +19,7 @@
         UNKNOWN_NUMBER
     }
 
-    static FinalAnswer stands(String server) {
+    static FinalAnswer established(String server) {
         return new FinalAnswer(Kind.STANDS, server, 0, "stands");
     }
 
--- a/src/main/java/damsonseam/core/Candidates.java
+++ b/src/main/java/damsonseam/core/LookupResult.java
@@ -8,21 +8,21 @@
  * @param outcome whether the look-up found the number
  * @param servers the names of the servers, the first choice first; empty unless found
  */
-public record Candidates(Outcome outcome, List<String> servers) {
+public record LookupResult(Outcome outcome, List<String> servers) {
     /** The number does not exist, by an authority's word. */
-    public static final Candidates UNKNOWN = new Candidates(Outcome.UNKNOWN, List.of());
+    public static final LookupResult NOT_FOUND = new LookupResult(Outcome.NOT_FOUND, List.of());
     /** No authority answered in time and nothing old was kept. */
-    public static final Candidates UNAVAILABLE = new Candidates(Outcome.UNAVAILABLE, List.of());
+    public static final LookupResult UNAVAILABLE = new LookupResult(Outcome.UNAVAILABLE, List.of());
 
     /** What a look-up came to. */
     public enum Outcome {
         FOUND,
-        UNKNOWN,
+        NOT_FOUND,
         UNAVAILABLE
     }
 
     /** A number that was found. */
-    public static Candidates of(List<String> servers) {
-        return new Candidates(Outcome.FOUND, List.copyOf(servers));
+    public static LookupResult found(List<String> servers) {
+        return new LookupResult(Outcome.FOUND, List.copyOf(servers));
     }
 }
--- a/src/main/java/damsonseam/core/NumberPlan.java
+++ b/src/main/java/damsonseam/core/NumberPlan.java
@@ -8,9 +8,9 @@
  */
 public final class NumberPlan {
     /** Prefixes at most. */
-    public static final int MOST = 100_000;
+    public static final int MAX_PREFIXES = 100_000;
 
-    private static final int DIGITS = 10;
+    private static final int RADIX = 10;
 
     private final Node root = new Node();
     private final int size;
@@ -25,14 +25,14 @@
     public record Entry(String prefix, int callClass, double patience) {}
 
     private static final class Node {
-        final Node[] next = new Node[DIGITS];
+        final Node[] next = new Node[RADIX];
         Entry entry;
     }
 
     /** A plan of these lines. */
     public NumberPlan(List<Entry> entries) {
-        if (entries.size() > MOST) {
-            throw new IllegalArgumentException(entries.size() + " prefixes, at most " + MOST);
+        if (entries.size() > MAX_PREFIXES) {
+            throw new IllegalArgumentException(entries.size() + " prefixes, at most " + MAX_PREFIXES);
         }
         for (Entry entry : entries) {
             Node node = root;
@@ -59,7 +59,7 @@
         Entry best = root.entry;
         for (int i = 0; i < number.length() && node != null; i++) {
             int digit = number.charAt(i) - '0';
-            node = digit < 0 || digit >= DIGITS ? null : node.next[digit];
+            node = digit < 0 || digit >= RADIX ? null : node.next[digit];
             best = node != null && node.entry != null ? node.entry : best;
         }
         return best;
--- a/src/main/java/damsonseam/core/QueueAge.java
+++ b/src/main/java/damsonseam/core/QueueAgeEstimator.java
@@ -9,8 +9,8 @@
  * sends itself a marker now and then: the socket's queue keeps its order, so all that is read after a marker
  * came after that marker was sent. A marker lost in a full queue makes the bound greater, never smaller.
  */
-public final class QueueAge {
-    private static final int NONCE = 16;
+public final class QueueAgeEstimator {
+    private static final int NONCE_BYTES = 16;
 
     private final byte[] nonce;
     private final double between;
@@ -22,34 +22,35 @@
      * @param nonce random octets that nobody else knows, so that no caller can send a marker
      * @param between time between two markers, in milliseconds
      */
-    public QueueAge(byte[] nonce, double between) {
-        if (nonce.length != NONCE) {
-            throw new IllegalArgumentException("a nonce has " + NONCE + " octets");
+    public QueueAgeEstimator(byte[] nonce, double between) {
+        if (nonce.length != NONCE_BYTES) {
+            throw new IllegalArgumentException("a nonce has " + NONCE_BYTES + " octets");
         }
         this.nonce = nonce.clone();
         this.between = between;
     }
 
     /** The marker to send to the own socket now. */
-    public byte[] marker(double now) {
-        return ByteBuffer.allocate(NONCE + Double.BYTES)
+    public byte[] createMarker(double now) {
+        return ByteBuffer.allocate(NONCE_BYTES + Double.BYTES)
                 .put(nonce)
                 .putDouble(now)
                 .array();
     }
 
     /** Takes octets read from the socket; true if they were a marker, and nothing of a caller's. */
-    public boolean read(byte[] octets) {
-        if (octets.length != NONCE + Double.BYTES || !Arrays.equals(octets, 0, NONCE, nonce, 0, NONCE)) {
+    public boolean consumeMarker(byte[] octets) {
+        if (octets.length != NONCE_BYTES + Double.BYTES
+                || !Arrays.equals(octets, 0, NONCE_BYTES, nonce, 0, NONCE_BYTES)) {
             return false;
         }
-        double at = ByteBuffer.wrap(octets, NONCE, Double.BYTES).getDouble();
+        double at = ByteBuffer.wrap(octets, NONCE_BYTES, Double.BYTES).getDouble();
         sentAt = Double.isNaN(sentAt) ? at : Math.max(sentAt, at);
         return true;
     }
 
     /** The longest time that what is read now can have waited, beyond the ordinary gap between markers. */
-    public double age(double now) {
+    public double maxAge(double now) {
         return Double.isNaN(sentAt) ? 0 : Math.max(0, now - sentAt - 2 * between);
     }
 }
--- a/src/main/java/damsonseam/core/Router.java
+++ b/src/main/java/damsonseam/core/Router.java
@@ -8,8 +8,8 @@
 import damsonseam.Front.Report;
 import damsonseam.Front.Result;
 import damsonseam.core.CallRecord.Phase;
-import damsonseam.core.Ports.Caller;
-import damsonseam.core.Ports.NotSent;
+import damsonseam.core.RouterPorts.Caller;
+import damsonseam.core.RouterPorts.SendFailure;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,7 +19,7 @@
 /**
  * The core of one front: tells the decision module what happens and carries out what it decides. All methods
  * run on one thread; {@code now} is the front's clock in milliseconds and never runs backwards. Events are
- * handed to the module as they come, and {@link #settle} lets it act once all news of a moment is in.
+ * handed to the module as they come, and {@link #endBatch} lets it act once all news of a moment is in.
  *
  * <p>What the core adds to the module is bookkeeping, not choice: a call has one final answer, one attempt out
  * at a time, a circuit from set-up to release, and an end before its caller gives up even if nothing else
@@ -27,28 +27,28 @@
  */
 public final class Router implements Actions {
     /** Rounds of one moment at the most: each needs the module to have acted in the one before. */
-    private static final int MOST_ROUNDS = 64;
+    private static final int MAX_DECISION_ROUNDS = 64;
 
     private final RouterSettings settings;
     private final Front module;
     private final CallTable calls;
-    private final Timers timers;
-    private final Pool pool = new Pool();
-    private final Ports.Lookups lookups;
-    private final Ports.Trunks trunks;
-    private final Ports.Directory directory;
-    private final Story story;
+    private final TimerWheel timers;
+    private final ServerList serverList = new ServerList();
+    private final RouterPorts.NumberLookup lookups;
+    private final RouterPorts.ServerSignalling trunks;
+    private final RouterPorts.Directory serverListUpdated;
+    private final CallTracer tracer;
     private final Counters counters = new Counters();
     /** Ends of attempts that were found out while the module was acting: it hears of them when it is done. */
-    private final ArrayDeque<Runnable> echoes = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
 
     private double now;
-    private double beatAt = Double.NaN;
-    private double beatBefore = Double.NaN;
+    private double lastTickAt = Double.NaN;
+    private double previousTickAt = Double.NaN;
     /** Calls whose callers are owed an answer, by class; the last place is their sum. */
-    private final int[] owed;
+    private final int[] unansweredCalls;
 
-    private boolean unsettled;
+    private boolean hasOpenBatch;
     private boolean draining;
 
     /** A router over the given ports; {@code module} makes the decision module for the router's actions. */
@@ -56,42 +56,42 @@
             RouterSettings settings,
             Function<Actions, Front> module,
             CallTable calls,
-            Timers timers,
-            Ports.Lookups lookups,
-            Ports.Trunks trunks,
-            Ports.Directory directory,
-            Story story) {
+            TimerWheel timers,
+            RouterPorts.NumberLookup lookups,
+            RouterPorts.ServerSignalling trunks,
+            RouterPorts.Directory directory,
+            CallTracer story) {
         this.settings = settings;
         this.calls = calls;
         this.timers = timers;
         this.lookups = lookups;
         this.trunks = trunks;
-        this.directory = directory;
-        this.story = story;
+        this.serverListUpdated = directory;
+        this.tracer = story;
         this.module = module.apply(this);
-        owed = new int[settings.module().classes().size() + 1];
+        unansweredCalls = new int[settings.module().classes().size() + 1];
     }
 
     // ---- The loop ---------------------------------------------------------------------------------------
 
     /** The beat of the loop: fires timers that are due and measures how late the loop is. */
-    public void beat(double at) {
-        clock(at);
-        if (!Double.isNaN(beatAt)) {
-            counters.longestPause = Math.max(counters.longestPause, at - beatAt - settings.beat());
+    public void onTick(double at) {
+        advanceClock(at);
+        if (!Double.isNaN(lastTickAt)) {
+            counters.maxPauseMs = Math.max(counters.maxPauseMs, at - lastTickAt - settings.tickIntervalMs());
         }
         timers.poll(at);
-        beatBefore = beatAt;
-        beatAt = at;
+        previousTickAt = lastTickAt;
+        lastTickAt = at;
     }
 
     /**
      * Fires what is overdue before anything is read after a pause: what has run out in the meantime is answered
      * first, and not after the whole backlog. Cheap where there was no pause.
      */
-    public void catchUp(double at) {
-        if (!Double.isNaN(beatAt) && at - beatAt > 3 * settings.beat()) {
-            clock(at);
+    public void fireOverdueTimers(double at) {
+        if (!Double.isNaN(lastTickAt) && at - lastTickAt > 3 * settings.tickIntervalMs()) {
+            advanceClock(at);
             timers.poll(at);
         }
     }
@@ -100,29 +100,29 @@
      * How long something read from a stream at {@code at} may have waited unread. Between two beats the loop
      * reads its sockets at least once, so what it reads now came after the last beat but one.
      */
-    public double turnAge(double at) {
-        return Double.isNaN(beatBefore) ? 0 : Math.max(0, at - beatBefore - 3 * settings.beat());
+    public double maxReadAge(double at) {
+        return Double.isNaN(previousTickAt) ? 0 : Math.max(0, at - previousTickAt - 3 * settings.tickIntervalMs());
     }
 
     /** Lets the module act; call it once all events of this moment have been handed over. */
-    public void settle(double at) {
-        clock(at);
-        for (int round = 0; unsettled && round < MOST_ROUNDS; round++) {
-            unsettled = false;
+    public void endBatch(double at) {
+        advanceClock(at);
+        for (int round = 0; hasOpenBatch && round < MAX_DECISION_ROUNDS; round++) {
+            hasOpenBatch = false;
             module.settled(now);
-            for (Runnable echo = echoes.poll(); echo != null; echo = echoes.poll()) {
+            for (Runnable echo = deferredEvents.poll(); echo != null; echo = deferredEvents.poll()) {
                 echo.run();
             }
         }
     }
 
-    /** Whether {@link #settle} has something to do. */
-    public boolean unsettled() {
-        return unsettled;
+    /** Whether {@link #endBatch} has something to do. */
+    public boolean hasOpenBatch() {
+        return hasOpenBatch;
     }
 
     /** The router's clock moves on to {@code at}; it never runs backwards. */
-    public void clock(double at) {
+    public void advanceClock(double at) {
         now = Math.max(now, at);
     }
 
@@ -131,8 +131,8 @@
         return now;
     }
 
-    private void heard() {
-        unsettled = true;
+    private void markBatchOpen() {
+        hasOpenBatch = true;
     }
 
     // ---- Callers ----------------------------------------------------------------------------------------
@@ -144,21 +144,21 @@
      * @param age how long it may have waited unread; it is taken off the time left
      * @return the call, or null if it was answered at once (its caller has been told)
      */
-    public CallRecord offered(
+    public CallRecord callReceived(
             double at, String number, int callClass, double timeLeft, double age, boolean redialled, Caller caller) {
-        CallRecord call = take(at, number, callClass, timeLeft, age, redialled, caller);
+        CallRecord call = register(at, number, callClass, timeLeft, age, redialled, caller);
         if (call != null) {
-            lookups.lookUp(call.id(), number, call.deadline() - settings.lastMoment());
+            lookups.lookUp(call.id(), number, call.deadline() - settings.answerMarginMs());
         }
         return call;
     }
 
     /**
-     * A call comes in that says itself where it may go; else as {@link #offered}.
+     * A call comes in that says itself where it may go; else as {@link #callReceived}.
      *
      * @param firstChoice number of its first choice, -1 for none
      */
-    public CallRecord routed(
+    public CallRecord routedCallReceived(
             double at,
             String number,
             int callClass,
@@ -167,23 +167,23 @@
             double age,
             boolean redialled,
             Caller caller) {
-        CallRecord call = take(at, number, callClass, timeLeft, age, redialled, caller);
+        CallRecord call = register(at, number, callClass, timeLeft, age, redialled, caller);
         if (call != null) {
-            offer(call, firstChoice, List.of());
+            offerToModule(call, firstChoice, List.of());
         }
         return call;
     }
 
-    private CallRecord take(
+    private CallRecord register(
             double at, String number, int callClass, double timeLeft, double age, boolean redialled, Caller caller) {
-        clock(at);
+        advanceClock(at);
         double deadline = now + timeLeft - age;
         CallRecord call = new CallRecord(calls.nextId(), number, callClass, redialled, now, deadline, caller);
-        counters.taken++;
-        owes(call, 1);
-        if (calls.full() || draining) {
-            counters.tableFull += draining ? 0 : 1;
-            finish(
+        counters.received++;
+        countUnanswered(call, 1);
+        if (calls.isFull() || draining) {
+            counters.refusedTableFull += draining ? 0 : 1;
+            finishCall(
                     call,
                     FinalAnswer.refused(
                             settings.module().maxReturnAdvice().orElse(0),
@@ -191,17 +191,17 @@
             return null;
         }
         calls.add(call);
-        story.step(now, call, "taken", number);
-        if (deadline - settings.lastMoment() <= now) {
-            finish(call, FinalAnswer.failed("waited unread too long"));
+        tracer.traceStep(now, call, "taken", number);
+        if (deadline - settings.answerMarginMs() <= now) {
+            finishCall(call, FinalAnswer.failed("waited unread too long"));
             return null;
         }
-        call.swapDeadlineTimer(timers.set(deadline - settings.lastMoment(), t -> lastMoment(call, t)));
+        call.replaceDeadlineTimer(timers.schedule(deadline - settings.answerMarginMs(), t -> lastMoment(call, t)));
         return call;
     }
 
-    private void offer(CallRecord call, int firstChoice, List<Integer> numbers) {
-        call.found();
+    private void offerToModule(CallRecord call, int firstChoice, List<Integer> numbers) {
+        call.startTrying();
         module.offered(
                 now,
                 new Call(
@@ -210,43 +210,43 @@
                         call.callClass(),
                         firstChoice,
                         call.deadline() - now,
-                        call.redialled(),
+                        call.isRedial(),
                         false,
                         numbers));
-        heard();
+        markBatchOpen();
     }
 
     /** Guards the one answer of each call against a module or a look-up that says nothing. */
     private void lastMoment(CallRecord call, double at) {
-        clock(at);
+        advanceClock(at);
         if (call.phase() == Phase.LOOKING_UP) {
-            finish(call, FinalAnswer.failed("look-up not answered in time"));
+            finishCall(call, FinalAnswer.failed("look-up not answered in time"));
             return;
         }
-        counters.lastMoment++;
-        leave(call, Result.TIMED_OUT);
-        finish(call, FinalAnswer.failed("no answer in time"));
+        counters.failedAtDeadline++;
+        abandonCall(call, Result.TIMED_OUT);
+        finishCall(call, FinalAnswer.failed("no answer in time"));
     }
 
     /** The caller went away; nothing more is owed. */
-    public void left(double at, CallRecord call) {
-        clock(at);
-        if (call.phase() == Phase.OVER || call.phase() == Phase.STANDING) {
+    public void callerAbandoned(double at, CallRecord call) {
+        advanceClock(at);
+        if (call.phase() == Phase.CLOSED || call.phase() == Phase.ESTABLISHED) {
             return;
         }
         if (call.phase() == Phase.TRYING) {
-            leave(call, Result.CANCELLED);
+            abandonCall(call, Result.CANCELLED);
         }
         call.takeCaller();
-        finish(call, FinalAnswer.failed("caller left"));
+        finishCall(call, FinalAnswer.failed("caller left"));
     }
 
     /**
      * Nobody waits for the call any more. Each attempt has one end, also where its call is over before: the module
      * takes a set-up without an end for a server that is silent.
      */
-    private void leave(CallRecord call, Result result) {
-        boolean out = call.out();
+    private void abandonCall(CallRecord call, Result result) {
+        boolean out = call.hasPendingAttempt();
         releaseAttempt(call, result == Result.TIMED_OUT);
         module.left(now, call.id());
         if (out) {
@@ -263,106 +263,112 @@
                             true,
                             Report.NONE));
         }
-        heard();
+        markBatchOpen();
     }
 
     /** What the look-up of a call's number came to; passed over where the call is over. */
-    public void lookedUp(double at, long id, Candidates candidates) {
-        clock(at);
+    public void lookupCompleted(double at, long id, LookupResult candidates) {
+        advanceClock(at);
         CallRecord call = calls.get(id);
         if (call == null || call.phase() != Phase.LOOKING_UP) {
             return;
         }
         switch (candidates.outcome()) {
-            case UNKNOWN -> finish(call, new FinalAnswer(FinalAnswer.Kind.UNKNOWN_NUMBER, "", 0, "unknown number"));
-            case UNAVAILABLE -> finish(call, FinalAnswer.failed("look-up failed"));
+            case NOT_FOUND ->
+                finishCall(call, new FinalAnswer(FinalAnswer.Kind.UNKNOWN_NUMBER, "", 0, "unknown number"));
+            case UNAVAILABLE -> finishCall(call, FinalAnswer.failed("look-up failed"));
             default -> {
-                story.step(now, call, "looked-up", String.join(" ", candidates.servers()));
+                tracer.traceStep(now, call, "looked-up", String.join(" ", candidates.servers()));
                 List<Integer> numbers = new ArrayList<>(candidates.servers().size());
-                candidates.servers().forEach(name -> numbers.add(pool.number(name)));
-                offer(call, numbers.get(0), numbers);
+                candidates.servers().forEach(name -> numbers.add(serverList.indexOf(name)));
+                offerToModule(call, numbers.get(0), numbers);
             }
         }
     }
 
-    private void finish(CallRecord call, FinalAnswer answer) {
-        timers.cancel(call.swapDeadlineTimer(null));
-        timers.cancel(call.swapAttemptTimer(null));
+    private void finishCall(CallRecord call, FinalAnswer answer) {
+        timers.cancel(call.replaceDeadlineTimer(null));
+        timers.cancel(call.replaceAttemptTimer(null));
         Caller caller = call.close();
         calls.remove(call);
-        owes(call, -1);
-        tell(call, caller, answer);
+        countUnanswered(call, -1);
+        deliverAnswer(call, caller, answer);
     }
 
-    private void owes(CallRecord call, int change) {
-        owed[call.callClass()] += change;
-        owed[owed.length - 1] += change;
+    private void countUnanswered(CallRecord call, int change) {
+        unansweredCalls[call.callClass()] += change;
+        unansweredCalls[unansweredCalls.length - 1] += change;
     }
 
-    private void tell(CallRecord call, Caller caller, FinalAnswer answer) {
+    private void deliverAnswer(CallRecord call, Caller caller, FinalAnswer answer) {
         if (caller == null) {
             return;
         }
         switch (answer.kind()) {
-            case STANDS -> counters.stood++;
+            case STANDS -> counters.established++;
             case REFUSED -> counters.refused++;
             default -> counters.failed++;
         }
-        story.step(now, call, "answer", answer.kind() + " " + answer.why());
-        caller.answered(now, call, answer);
+        tracer.traceStep(now, call, "answer", answer.kind() + " " + answer.reason());
+        caller.onFinalAnswer(now, call, answer);
     }
 
     // ---- Attempts ---------------------------------------------------------------------------------------
 
     /** The attempt was answered: the call stands. Late answers of attempts that are over are passed over. */
-    public void stands(double at, long id, int attempt, Report report) {
-        clock(at);
+    public void callEstablished(double at, long id, int attempt, Report report) {
+        advanceClock(at);
         CallRecord call = calls.get(id);
-        if (call == null || !call.out() || call.releasing() != null || !call.isAttempt(attempt)) {
+        if (call == null
+                || !call.hasPendingAttempt()
+                || call.releaseOutcome() != null
+                || !call.isCurrentAttempt(attempt)) {
             return;
         }
         if (now > call.deadline()) {
             // Guards against a pause of the loop: an answer read before the timer that should have ended its
             // attempt long ago is too late for the caller, who has gone.
             counters.timedOut++;
-            abandoned(call, attempt, Result.TIMED_OUT);
+            giveUpAttempt(call, attempt, Result.TIMED_OUT);
             return;
         }
-        timers.cancel(call.swapAttemptTimer(null));
-        timers.cancel(call.swapDeadlineTimer(null));
-        call.stand();
-        owes(call, -1);
+        timers.cancel(call.replaceAttemptTimer(null));
+        timers.cancel(call.replaceDeadlineTimer(null));
+        call.establish();
+        countUnanswered(call, -1);
         // The report rides with the answer, but the module hears it as news of the server.
         if (!report.equals(Report.NONE)) {
             module.probed(now, call.server(), false, true, 0, report);
         }
         module.stands(now, id, call.server(), attempt, now - call.sentAt());
-        heard();
-        tell(call, call.takeCaller(), FinalAnswer.stands(call.server()));
+        markBatchOpen();
+        deliverAnswer(call, call.takeCaller(), FinalAnswer.established(call.server()));
     }
 
     /** An attempt, or the standing call that it became, was ended by the far side or with its connection. */
-    public void ended(
+    public void attemptEnded(
             double at, long id, int attempt, Result result, Reason reason, OptionalDouble toldWait, Report report) {
-        clock(at);
+        advanceClock(at);
         CallRecord call = calls.get(id);
-        if (call == null || !call.isAttempt(attempt) || !call.out() && call.phase() != Phase.STANDING) {
+        if (call == null
+                || !call.isCurrentAttempt(attempt)
+                || !call.hasPendingAttempt() && call.phase() != Phase.ESTABLISHED) {
             return;
         }
-        end(call, attempt, result, reason, toldWait, report);
+        endAttempt(call, attempt, result, reason, toldWait, report);
     }
 
-    private void end(
+    private void endAttempt(
             CallRecord call, int attempt, Result result, Reason reason, OptionalDouble toldWait, Report report) {
-        boolean last = call.phase() == Phase.STANDING;
-        double took = (call.releasing() == null ? now : call.releasedAt()) - call.sentAt();
-        timers.cancel(call.swapAttemptTimer(null));
+        boolean last = call.phase() == Phase.ESTABLISHED;
+        double took = (call.releaseOutcome() == null ? now : call.releaseStartedAt()) - call.sentAt();
+        timers.cancel(call.replaceAttemptTimer(null));
         if (!last) {
-            call.attemptOver();
+            call.endAttempt();
         }
-        story.step(now, call, "ended", call.server() + " " + result);
+        tracer.traceStep(now, call, "ended", call.server() + " " + result);
         module.ended(now, new Ending(call.id(), call.server(), attempt, took, result, reason, toldWait, last, report));
-        heard();
+        markBatchOpen();
         if (last) {
             call.close();
             calls.remove(call);
@@ -375,58 +381,61 @@
      * server certainly, or as good as certainly, had the release. Guards against a way that is slower for the
      * release than for the set-up that follows it to another server.
      */
-    private void abandoned(CallRecord call, int attempt, Result result) {
-        call.release(result, now);
-        clock(trunks.release(now, call.server(), call.id(), attempt, result == Result.TIMED_OUT));
-        timers.cancel(call.swapAttemptTimer(timers.set(now + settings.releaseWait(), at -> {
-            counters.unprovedReleases++;
-            released(at, call.id(), attempt);
+    private void giveUpAttempt(CallRecord call, int attempt, Result result) {
+        call.startRelease(result, now);
+        advanceClock(trunks.sendRelease(now, call.server(), call.id(), attempt, result == Result.TIMED_OUT));
+        timers.cancel(call.replaceAttemptTimer(timers.schedule(now + settings.releaseTimeoutMs(), at -> {
+            counters.unconfirmedReleases++;
+            releaseConfirmed(at, call.id(), attempt);
         })));
     }
 
     /** The server has a release, or was given long enough for it; passed over where nothing is being released. */
-    public void released(double at, long id, int attempt) {
-        clock(at);
+    public void releaseConfirmed(double at, long id, int attempt) {
+        advanceClock(at);
         CallRecord call = calls.get(id);
-        if (call != null && call.out() && call.releasing() != null && call.isAttempt(attempt)) {
-            end(call, attempt, call.releasing(), Reason.NONE, OptionalDouble.empty(), Report.NONE);
+        if (call != null
+                && call.hasPendingAttempt()
+                && call.releaseOutcome() != null
+                && call.isCurrentAttempt(attempt)) {
+            endAttempt(call, attempt, call.releaseOutcome(), Reason.NONE, OptionalDouble.empty(), Report.NONE);
         }
     }
 
     private void releaseAttempt(CallRecord call, boolean timedOut) {
-        if (call.out()) {
-            if (call.releasing() == null) {
-                trunks.release(now, call.server(), call.id(), call.attempts() - 1, timedOut);
+        if (call.hasPendingAttempt()) {
+            if (call.releaseOutcome() == null) {
+                trunks.sendRelease(now, call.server(), call.id(), call.attempts() - 1, timedOut);
             }
-            call.attemptOver();
+            call.endAttempt();
         }
     }
 
     // ---- Servers ----------------------------------------------------------------------------------------
 
     /** An update of the pool directory; returns whether the whole list must be asked for. */
-    public boolean directory(double at, long version, boolean full, List<Pool.Server> servers) {
-        clock(at);
-        Pool.News news = pool.apply(version, full, servers);
+    public boolean serverListUpdated(double at, long version, boolean full, List<ServerList.Server> servers) {
+        advanceClock(at);
+        ServerList.UpdateResult news = serverList.applyUpdate(version, full, servers);
         if (news.full() || !news.entries().isEmpty()) {
             module.serverList(now, news.full(), news.entries());
-            heard();
+            markBatchOpen();
         }
-        return news.gap();
+        return news.versionGap();
     }
 
     /** The directory could not be reached or broke off; the old list stays. */
     public void directoryFailed(double at) {
-        clock(at);
+        advanceClock(at);
         module.listFailed(now);
-        heard();
+        markBatchOpen();
     }
 
     /** The answer to a probe, or with {@code asked} false a report that came by itself. */
-    public void probed(double at, String server, boolean asked, boolean answered, double delay, Report report) {
-        clock(at);
+    public void probeCompleted(double at, String server, boolean asked, boolean answered, double delay, Report report) {
+        advanceClock(at);
         module.probed(now, server, asked, answered, delay, report);
-        heard();
+        markBatchOpen();
     }
 
     // ---- What the module asks for -----------------------------------------------------------------------
@@ -437,23 +446,23 @@
         if (call == null || call.phase() != Phase.TRYING) {
             return;
         }
-        int attempt = call.send(server, now);
-        double latest = call.deadline() - settings.lastMoment();
+        int attempt = call.startAttempt(server, now);
+        double latest = call.deadline() - settings.answerMarginMs();
         double until = abandonAt > 0 ? Math.min(abandonAt, latest) : latest;
-        NotSent notSent = trunks.setUp(now, server, id, attempt, until, call);
+        SendFailure notSent = trunks.sendSetUp(now, server, id, attempt, until, call);
         if (notSent != null) {
             counters.notSent++;
-            echoes.add(() ->
-                    ended(now, id, attempt, notSent.result(), notSent.reason(), OptionalDouble.empty(), Report.NONE));
+            deferredEvents.add(() -> attemptEnded(
+                    now, id, attempt, notSent.result(), notSent.reason(), OptionalDouble.empty(), Report.NONE));
             return;
         }
         counters.setUps++;
-        story.step(now, call, "set-up", server);
-        call.swapAttemptTimer(timers.set(until, at -> {
-            clock(at);
-            if (call.out() && call.releasing() == null && call.isAttempt(attempt)) {
+        tracer.traceStep(now, call, "set-up", server);
+        call.replaceAttemptTimer(timers.schedule(until, at -> {
+            advanceClock(at);
+            if (call.hasPendingAttempt() && call.releaseOutcome() == null && call.isCurrentAttempt(attempt)) {
                 counters.timedOut++;
-                abandoned(call, attempt, Result.TIMED_OUT);
+                giveUpAttempt(call, attempt, Result.TIMED_OUT);
             }
         }));
     }
@@ -463,7 +472,7 @@
         CallRecord call = calls.get(id);
         if (call != null && call.phase() == Phase.TRYING) {
             releaseAttempt(call, false);
-            finish(call, FinalAnswer.refused(returnAfter, "refused"));
+            finishCall(call, FinalAnswer.refused(returnAfter, "refused"));
         }
     }
 
@@ -472,19 +481,22 @@
         CallRecord call = calls.get(id);
         if (call != null && call.phase() == Phase.TRYING) {
             releaseAttempt(call, false);
-            finish(call, FinalAnswer.failed("failed"));
+            finishCall(call, FinalAnswer.failed("failed"));
         }
     }
 
     @Override
     public void cancel(long id, int attempt) {
         CallRecord call = calls.get(id);
-        if (call != null && call.out() && call.releasing() == null && call.isAttempt(attempt)) {
+        if (call != null
+                && call.hasPendingAttempt()
+                && call.releaseOutcome() == null
+                && call.isCurrentAttempt(attempt)) {
             // The module hears that it is over when it is done with this moment.
-            echoes.add(() -> {
-                if (call.out() && call.releasing() == null && call.isAttempt(attempt)) {
+            deferredEvents.add(() -> {
+                if (call.hasPendingAttempt() && call.releaseOutcome() == null && call.isCurrentAttempt(attempt)) {
                     counters.cancelled++;
-                    abandoned(call, attempt, Result.CANCELLED);
+                    giveUpAttempt(call, attempt, Result.CANCELLED);
                 }
             });
         }
@@ -492,26 +504,26 @@
 
     @Override
     public void timer(double after, long token) {
-        timers.set(now + after, at -> {
-            clock(at);
+        timers.schedule(now + after, at -> {
+            advanceClock(at);
             module.timer(now, token);
-            heard();
+            markBatchOpen();
         });
     }
 
     @Override
     public void probe(String server) {
-        trunks.probe(now, server);
+        trunks.sendProbe(now, server);
     }
 
     @Override
     public void fetchList() {
-        directory.fetch();
+        serverListUpdated.requestServerList();
     }
 
     @Override
     public void followList() {
-        directory.follow();
+        serverListUpdated.subscribeToUpdates();
     }
 
     // ---- Reports ----------------------------------------------------------------------------------------
@@ -521,36 +533,38 @@
      * now. Those that are held were never sent on and are refused, an attempt that is out is given up and its call
      * fails.
      */
-    public void giveUpAll(double at) {
-        clock(at);
+    public void closeUnansweredCalls(double at) {
+        advanceClock(at);
         draining = true;
-        for (CallRecord call : List.copyOf(calls.all())) {
-            if (call.phase() == Phase.TRYING && call.out()) {
-                leave(call, Result.CANCELLED);
-                finish(call, FinalAnswer.failed("front is closing"));
-            } else if (call.phase() != Phase.STANDING && call.phase() != Phase.OVER) {
+        for (CallRecord call : List.copyOf(calls.snapshot())) {
+            if (call.phase() == Phase.TRYING && call.hasPendingAttempt()) {
+                abandonCall(call, Result.CANCELLED);
+                finishCall(call, FinalAnswer.failed("front is closing"));
+            } else if (call.phase() != Phase.ESTABLISHED && call.phase() != Phase.CLOSED) {
                 module.left(now, call.id());
-                finish(
+                finishCall(
                         call,
                         FinalAnswer.refused(settings.module().maxReturnAdvice().orElse(0), "front is closing"));
             }
         }
-        heard();
+        markBatchOpen();
     }
 
     /** From now on no call is taken; those open are ended as usual. */
-    public void drain() {
+    public void startDraining() {
         draining = true;
     }
 
     /** Calls whose callers are still owed an answer. */
-    public long unanswered() {
-        return calls.all().stream().filter(c -> c.phase() != Phase.STANDING).count();
+    public long countUnansweredCalls() {
+        return calls.snapshot().stream()
+                .filter(c -> c.phase() != Phase.ESTABLISHED)
+                .count();
     }
 
     /** The list of servers as last told. */
-    public Pool pool() {
-        return pool;
+    public ServerList serverList() {
+        return serverList;
     }
 
     /** Counts since the start. */
@@ -559,17 +573,17 @@
     }
 
     /** Calls whose callers are owed an answer, as counted; costs nothing. */
-    public int owed() {
-        return owed[owed.length - 1];
+    public int unansweredCalls() {
+        return unansweredCalls[unansweredCalls.length - 1];
     }
 
     /** Those of one class. */
-    public int owed(int callClass) {
-        return owed[callClass];
+    public int unansweredCalls(int callClass) {
+        return unansweredCalls[callClass];
     }
 
     /** Calls open now, standing ones included. */
-    public int open() {
+    public int openCalls() {
         return calls.size();
     }
 }
--- a/src/main/java/damsonseam/core/Timers.java
+++ b/src/main/java/damsonseam/core/TimerWheel.java
@@ -13,9 +13,9 @@
  * by the fullest one, which a burst of callers in one tick blows up (2,000 callers: 16 MB, 100,000: 1 GB). Here a
  * slot is a linked list, and the list's links are in the timers themselves.
  */
-public final class Timers {
+public final class TimerWheel {
     /** A tick is a millisecond; 4,096 slots turn every four seconds, about as long as a caller waits. */
-    private static final double TICK = 1.0;
+    private static final double TICK_MS = 1.0;
 
     private static final int SLOTS = 1 << 12;
 
@@ -27,32 +27,32 @@
 
     /** What to do when a timer is due. */
     @FunctionalInterface
-    public interface Expiry {
+    public interface ExpiryHandler {
         /** Called once, with the time of the poll that found it due. */
-        void due(double now);
+        void onExpiry(double now);
     }
 
     /** One timer that is set, by which it may be cancelled. */
     public static final class Timer {
         private final long dueTick;
-        private Expiry expiry;
+        private ExpiryHandler expiry;
         private Timer before;
         private Timer after;
 
-        private Timer(long dueTick, Expiry expiry) {
+        private Timer(long dueTick, ExpiryHandler expiry) {
             this.dueTick = dueTick;
             this.expiry = expiry;
         }
     }
 
     /** An empty wheel that starts at {@code now}. */
-    public Timers(double now) {
+    public TimerWheel(double now) {
         origin = now;
     }
 
     /** Sets a timer for {@code at}, in milliseconds; a time already past is due at the next poll. */
-    public Timer set(double at, Expiry expiry) {
-        Timer timer = new Timer(Math.max(tick, (long) Math.ceil((at - origin) / TICK)), expiry);
+    public Timer schedule(double at, ExpiryHandler expiry) {
+        Timer timer = new Timer(Math.max(tick, (long) Math.ceil((at - origin) / TICK_MS)), expiry);
         int slot = slot(timer.dueTick);
         timer.before = last[slot];
         if (timer.before == null) {
@@ -76,8 +76,8 @@
         return (int) (tick & SLOTS - 1);
     }
 
-    private Expiry unlink(Timer timer) {
-        Expiry expiry = timer.expiry;
+    private ExpiryHandler unlink(Timer timer) {
+        ExpiryHandler expiry = timer.expiry;
         timer.expiry = null;
         if (timer.before == null) {
             slots[slot(timer.dueTick)] = timer.after;
@@ -97,7 +97,7 @@
 
     /** Fires all timers due at {@code now}; returns how many. */
     public int poll(double now) {
-        long until = (long) Math.floor((now - origin) / TICK);
+        long until = (long) Math.floor((now - origin) / TICK_MS);
         int fired = 0;
         while (tick <= until && size > 0) {
             fired += fire(now);
@@ -121,7 +121,7 @@
             for (Timer timer : due) {
                 // One that fired before it may have cancelled it; those that one sets are found in the next pass.
                 if (timer.expiry != null) {
-                    unlink(timer).due(now);
+                    unlink(timer).onExpiry(now);
                     fired++;
                 }
             }
--- a/src/main/java/damsonseam/day/Day.java
+++ b/src/main/java/damsonseam/day/Day.java
@@ -7,7 +7,7 @@
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.front.FrontServer;
-import damsonseam.overload.Admission;
+import damsonseam.overload.AdmissionController;
 import damsonseam.standin.Callers;
 import damsonseam.standin.RandomRoute;
 import damsonseam.standin.Scenario;
@@ -80,7 +80,7 @@
             }
             around.callers().closeBooks();
             double pause = fronts.stream()
-                    .mapToDouble(f -> f.counters().longestPause)
+                    .mapToDouble(f -> f.counters().maxPauseMs)
                     .max()
                     .orElse(0);
             int fallen =
@@ -101,7 +101,7 @@
             return FrontServer.start(settings, logCalls);
         }
         BiFunction<Front.Settings, Front.Actions, Front> random = RandomRoute::new;
-        Admission open = (now, rank, sender, load) -> Admission.TAKE;
+        AdmissionController open = (now, rank, sender, load) -> AdmissionController.ADMIT;
         return FrontServer.start(
                 settings,
                 new FrontServer.Parts(
--- a/src/main/java/damsonseam/dns/EnumReplies.java
+++ b/src/main/java/damsonseam/dns/EnumReplies.java
@@ -48,14 +48,14 @@
                 yield finish(query, reply, limit);
             }
             case REFUSED -> {
-                long wait = Math.round(answer.returnAfter());
+                long wait = Math.round(answer.retryAfterMs());
                 yield finish(
                         query,
                         start(query, Rcode.REFUSED),
                         limit,
                         new CallHints(false, wait).option(),
                         new ExtendedErrorCodeOption(
-                                EDE_REFUSED, answer.why() + (wait > 0 ? "; return after " + wait + " ms" : "")));
+                                EDE_REFUSED, answer.reason() + (wait > 0 ? "; return after " + wait + " ms" : "")));
             }
             case UNKNOWN_NUMBER -> negative(query, Rcode.NXDOMAIN, suffix, limit);
             default ->
@@ -63,7 +63,7 @@
                         query,
                         start(query, Rcode.SERVFAIL),
                         limit,
-                        new ExtendedErrorCodeOption(EDE_FAILED, answer.why()));
+                        new ExtendedErrorCodeOption(EDE_FAILED, answer.reason()));
         };
     }
 
--- a/src/main/java/damsonseam/dns/EnumService.java
+++ b/src/main/java/damsonseam/dns/EnumService.java
@@ -204,7 +204,7 @@
             return null;
         }
         double timeLeft = hints.time() > 0 ? Math.min(hints.time(), entry.patience()) : entry.patience();
-        return router.offered(
+        return router.callReceived(
                 now,
                 asked.number(),
                 entry.callClass(),
--- a/src/main/java/damsonseam/dns/LookupCache.java
+++ b/src/main/java/damsonseam/dns/LookupCache.java
@@ -1,6 +1,6 @@
 package damsonseam.dns;
 
-import damsonseam.core.Candidates;
+import damsonseam.core.LookupResult;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -24,13 +24,13 @@
     private int room;
 
     private static final class Entry {
-        Candidates candidates;
+        LookupResult candidates;
         double freshUntil = Double.NEGATIVE_INFINITY;
         double failedUntil = Double.NEGATIVE_INFINITY;
     }
 
     /** What the cache knows: fresh, or only stale, and whether a look-up has just failed. */
-    public record Known(Candidates candidates, boolean fresh, boolean justFailed) {}
+    public record Known(LookupResult candidates, boolean fresh, boolean justFailed) {}
 
     /**
      * An empty cache.
@@ -68,8 +68,8 @@
     }
 
     /** A number was found, or found not to exist; {@code ttl} is in seconds. */
-    public void put(String number, Candidates candidates, long ttl, double now) {
-        double most = candidates.outcome() == Candidates.Outcome.UNKNOWN ? MOST_NEGATIVE : MOST_FRESH;
+    public void put(String number, LookupResult candidates, long ttl, double now) {
+        double most = candidates.outcome() == LookupResult.Outcome.NOT_FOUND ? MOST_NEGATIVE : MOST_FRESH;
         Entry entry = entries.computeIfAbsent(number, n -> new Entry());
         entry.candidates = candidates;
         entry.freshUntil = now + Math.min(most, Math.max(0, ttl) * MS_PER_S);
--- a/src/main/java/damsonseam/dns/PlainReply.java
+++ b/src/main/java/damsonseam/dns/PlainReply.java
@@ -25,8 +25,8 @@
     static byte[] of(PlainQuestion query, long call, FinalAnswer answer, int limit) {
         return switch (answer.kind()) {
             case STANDS -> stands(query, Long.toHexString(call), answer.server(), limit);
-            case REFUSED -> refused(query, Math.round(answer.returnAfter()), answer.why(), limit);
-            case FAILED -> failed(query, answer.why(), limit);
+            case REFUSED -> refused(query, Math.round(answer.retryAfterMs()), answer.reason(), limit);
+            case FAILED -> failed(query, answer.reason(), limit);
             default -> null;
         };
     }
--- a/src/main/java/damsonseam/dns/Resolver.java
+++ b/src/main/java/damsonseam/dns/Resolver.java
@@ -1,8 +1,8 @@
 package damsonseam.dns;
 
-import damsonseam.core.Candidates;
-import damsonseam.core.Ports;
-import damsonseam.core.Timers;
+import damsonseam.core.LookupResult;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.TimerWheel;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -29,7 +29,7 @@
  * moves it to the next authority, as do answers of a lame one. While authorities are silent, an old answer is
  * given after a short time (RFC 8767 5). Time is passed in, sockets are behind {@link Output}.
  */
-public final class Resolver implements Ports.Lookups {
+public final class Resolver implements RouterPorts.NumberLookup {
     /** Answers with the wrong id or question after which a question is asked over TCP: somebody is guessing. */
     private static final int MOST_MISMATCHES = 4;
 
@@ -44,7 +44,7 @@
         void tcp(int authority, byte[] question);
 
         /** The look-up of a call is done. */
-        void lookedUp(double now, long call, Candidates candidates);
+        void lookedUp(double now, long call, LookupResult candidates);
     }
 
     /** Stands for a stream where answers name the socket that they came to. */
@@ -93,9 +93,9 @@
         int tries;
         int mismatches;
         double deadline;
-        Timers.Timer timer;
-        Timers.Timer staleTimer;
-        Candidates stale;
+        TimerWheel.Timer timer;
+        TimerWheel.Timer staleTimer;
+        LookupResult stale;
 
         Lookup(String number, int authorities) {
             this.number = number;
@@ -106,7 +106,7 @@
     private final Name suffix;
     private final LookupCache cache;
     private final Authorities authorities;
-    private final Timers timers;
+    private final TimerWheel timers;
     private final SplittableRandom random;
     private final Limits limits;
     private final Output out;
@@ -124,7 +124,7 @@
             Name suffix,
             LookupCache cache,
             Authorities authorities,
-            Timers timers,
+            TimerWheel timers,
             long seed,
             Limits limits,
             Output out) {
@@ -152,11 +152,11 @@
             tell(call, kept.candidates());
             return;
         }
-        Candidates stale = kept == null ? null : kept.candidates();
+        LookupResult stale = kept == null ? null : kept.candidates();
         if (kept != null && kept.justFailed()) {
             counts.stale += stale == null ? 0 : 1;
             counts.failed += stale == null ? 1 : 0;
-            tell(call, stale == null ? Candidates.UNAVAILABLE : stale);
+            tell(call, stale == null ? LookupResult.UNAVAILABLE : stale);
             return;
         }
         Lookup lookup = lookups.get(number);
@@ -167,7 +167,7 @@
         }
         if (lookups.size() >= limits.mostLookups()) {
             counts.failed++;
-            tell(call, stale == null ? Candidates.UNAVAILABLE : stale);
+            tell(call, stale == null ? LookupResult.UNAVAILABLE : stale);
             return;
         }
         lookup = new Lookup(number, authorities.count());
@@ -176,7 +176,7 @@
         join(lookup, call, deadline);
         if (stale != null) {
             Lookup late = lookup;
-            lookup.staleTimer = timers.set(now + limits.staleAfter(), at -> {
+            lookup.staleTimer = timers.schedule(now + limits.staleAfter(), at -> {
                 clock(at);
                 giveStale(late);
             });
@@ -190,7 +190,7 @@
     }
 
     /** The answer must not come from within the caller's own event, but in the same turn. */
-    private void tell(long call, Candidates candidates) {
+    private void tell(long call, LookupResult candidates) {
         known.add(() -> out.lookedUp(now, call, candidates));
     }
 
@@ -224,7 +224,7 @@
         byte[] question = question(id, name);
         timers.cancel(lookup.timer);
         double until = now + authorities.patience(authority);
-        lookup.timer = timers.set(Math.min(until, lookup.deadline), at -> {
+        lookup.timer = timers.schedule(Math.min(until, lookup.deadline), at -> {
             clock(at);
             if (now >= until) {
                 authorities.silent(authority);
@@ -314,7 +314,7 @@
         }
         int rcode = message.getRcode();
         if (rcode == Rcode.NXDOMAIN) {
-            found(lookup, Candidates.UNKNOWN, negativeTtl(message));
+            found(lookup, LookupResult.NOT_FOUND, negativeTtl(message));
         } else if (rcode != Rcode.NOERROR || !message.getHeader().getFlag(Flags.AA)) {
             counts.lame++;
             authorities.lame(asked.authority(), now);
@@ -332,7 +332,7 @@
             boolean none = servers.isEmpty();
             found(
                     lookup,
-                    none ? Candidates.UNKNOWN : Candidates.of(servers),
+                    none ? LookupResult.NOT_FOUND : LookupResult.found(servers),
                     rules.isEmpty() ? negativeTtl(message) : ttl);
         }
     }
@@ -347,7 +347,7 @@
         return 0;
     }
 
-    private void found(Lookup lookup, Candidates candidates, long ttl) {
+    private void found(Lookup lookup, LookupResult candidates, long ttl) {
         cache.put(lookup.number, candidates, ttl, now);
         close(lookup);
         lookup.waiting.forEach(w -> out.lookedUp(now, w.call(), candidates));
@@ -359,7 +359,7 @@
         boolean old = lookup.stale != null;
         counts.stale += old ? lookup.waiting.size() : 0;
         counts.failed += old ? 0 : lookup.waiting.size();
-        lookup.waiting.forEach(w -> out.lookedUp(now, w.call(), old ? lookup.stale : Candidates.UNAVAILABLE));
+        lookup.waiting.forEach(w -> out.lookedUp(now, w.call(), old ? lookup.stale : LookupResult.UNAVAILABLE));
     }
 
     /** The calls that wait get the old answer; the look-up goes on for those to come. */
--- a/src/main/java/damsonseam/front/DirectoryClient.java
+++ b/src/main/java/damsonseam/front/DirectoryClient.java
@@ -1,14 +1,14 @@
 package damsonseam.front;
 
 import damsonseam.Front.State;
-import damsonseam.core.Pool;
-import damsonseam.core.Ports;
 import damsonseam.core.Router;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.ServerList;
 import damsonseam.directory.wire.Entry;
 import damsonseam.directory.wire.FollowRequest;
 import damsonseam.directory.wire.PoolDirectoryGrpc;
 import damsonseam.directory.wire.Update;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import io.grpc.Context;
 import io.grpc.ManagedChannel;
 import io.grpc.netty.shaded.io.grpc.netty.NettyChannelBuilder;
@@ -25,11 +25,11 @@
  * Follows the pool directory's stream. Updates are handed to the front's loop in their order; when the stream
  * breaks the module is told, which asks to follow again, and the list stays as it was until news comes.
  */
-final class DirectoryClient implements Ports.Directory {
+final class DirectoryClient implements RouterPorts.Directory {
     private static final Logger LOG = LoggerFactory.getLogger(DirectoryClient.class);
     private static final int MOST_MESSAGE = 1 << 20;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final String front;
     private final ManagedChannel channel;
     private Router router;
@@ -37,7 +37,7 @@
     private Context.CancellableContext stream;
     private long generation;
 
-    DirectoryClient(Loop loop, String front, InetSocketAddress address) {
+    DirectoryClient(CoreLoop loop, String front, InetSocketAddress address) {
         this.loop = loop;
         this.front = front;
         channel = NettyChannelBuilder.forAddress(address)
@@ -51,18 +51,18 @@
     void start(Router router, TrunkLinks trunks) {
         this.router = router;
         this.trunks = trunks;
-        follow();
+        subscribeToUpdates();
     }
 
     @Override
-    public void fetch() {
+    public void requestServerList() {
         open(0);
     }
 
     @Override
-    public void follow() {
+    public void subscribeToUpdates() {
         if (stream == null) {
-            open(router.pool().version());
+            open(router.serverList().version());
         }
     }
 
@@ -107,7 +107,7 @@
         double now = loop.now();
         boolean gap;
         try {
-            gap = router.directory(now, update.getVersion(), update.getFull(), servers(update, now));
+            gap = router.serverListUpdated(now, update.getVersion(), update.getFull(), servers(update, now));
         } catch (IllegalArgumentException e) {
             LOG.atWarn()
                     .addKeyValue("version", update.getVersion())
@@ -120,15 +120,15 @@
                 .addKeyValue("full", update.getFull())
                 .addKeyValue("entries", update.getEntriesCount())
                 .log("directory update");
-        trunks.follow(router.pool());
+        trunks.follow(router.serverList());
         if (gap) {
-            fetch();
+            requestServerList();
         }
-        loop.kick();
+        loop.scheduleBatchEnd();
     }
 
-    private static List<Pool.Server> servers(Update update, double now) {
-        List<Pool.Server> servers = new ArrayList<>(update.getEntriesCount());
+    private static List<ServerList.Server> servers(Update update, double now) {
+        List<ServerList.Server> servers = new ArrayList<>(update.getEntriesCount());
         for (Entry e : update.getEntriesList()) {
             State state =
                     switch (e.getState()) {
@@ -140,7 +140,7 @@
             if (e.getServer().isEmpty() || state != State.GONE) {
                 damsonseam.config.Endpoint.of(e.getAddress());
             }
-            servers.add(new Pool.Server(
+            servers.add(new ServerList.Server(
                     e.getServer(),
                     e.getNumber(),
                     e.getAddress(),
@@ -156,7 +156,7 @@
             LOG.atWarn().addKeyValue("why", why).log("directory stream broke");
             cancel();
             router.directoryFailed(loop.now());
-            loop.kick();
+            loop.scheduleBatchEnd();
         }
     }
 
--- a/src/main/java/damsonseam/front/DnsListener.java
+++ b/src/main/java/damsonseam/front/DnsListener.java
@@ -5,10 +5,10 @@
 import damsonseam.core.Router;
 import damsonseam.dns.EnumService;
 import damsonseam.dns.PlainQuestion;
-import damsonseam.loop.Loop;
-import damsonseam.overload.Admission;
-import damsonseam.overload.HeavySenders;
-import damsonseam.overload.Ranks;
+import damsonseam.loop.CoreLoop;
+import damsonseam.overload.AdmissionController;
+import damsonseam.overload.HeavySenderDetector;
+import damsonseam.overload.WorthRanks;
 import io.netty.channel.Channel;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -25,7 +25,7 @@
     /** Ports tried where the system chooses: the TCP port of the same number may be taken. */
     private static final int PORT_TRIES = 20;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final EnumService service;
     private final Router router;
     private final EnumService.Gate gate;
@@ -38,22 +38,22 @@
     private boolean backlog;
 
     DnsListener(
-            Loop loop,
+            CoreLoop loop,
             EnumService service,
             Router router,
             FrontSettings settings,
             NumberPlan plan,
             PlainQuestion.Suffix suffix,
-            Supplier<Admission> admission) {
+            Supplier<AdmissionController> admission) {
         this.loop = loop;
         this.service = service;
         this.router = router;
-        Ranks ranks = settings.ranks();
+        WorthRanks ranks = settings.ranks();
         queue = new CallQueue(ranks.count(), settings.overload().queue());
         load = new FrontLoad(queue, ranks.count(), FrontSettings.BEAT);
         intake = new Intake(loop, settings, suffix, plan, admission.get(), load, queue, this::drain);
-        Admission forStreams = admission.get();
-        gate = (now, callClass, source) -> forStreams.decide(now, ranks.of(callClass), sender(source), load);
+        AdmissionController forStreams = admission.get();
+        gate = (now, callClass, source) -> forStreams.decide(now, ranks.rankOfClass(callClass), sender(source), load);
         streams = new StreamListener(
                 loop, service, router, gate, settings.limits().connections());
     }
@@ -61,7 +61,9 @@
     /** Who asks, for a question that came from an address or over a connection. */
     private static long sender(Object source) {
         InetSocketAddress from = (InetSocketAddress) (source instanceof Channel c ? c.remoteAddress() : source);
-        return from == null ? 0 : HeavySenders.sender(from.getAddress().getAddress());
+        return from == null
+                ? 0
+                : HeavySenderDetector.senderKey(from.getAddress().getAddress());
     }
 
     /** Binds UDP and TCP to one port; with port 0 the system chooses one that is free for both. */
@@ -100,7 +102,7 @@
     /** Takes what is queued, the dearest first, a bounded number a turn. */
     private void drain() {
         double now = loop.now();
-        router.catchUp(now);
+        router.fireOverdueTimers(now);
         load.turned(now);
         if (backlog && taken == AT_ONCE) {
             load.batch(now - drainedAt, taken);
@@ -112,7 +114,7 @@
             taken++;
         }
         backlog = queue.from(0) > 0;
-        loop.kick();
+        loop.scheduleBatchEnd();
         if (backlog || !intake.rest()) {
             // Not at once: what else has come is read between two of these.
             loop.eventLoop().schedule(this::drain, 0, TimeUnit.NANOSECONDS);
--- a/src/main/java/damsonseam/front/FrontLoad.java
+++ b/src/main/java/damsonseam/front/FrontLoad.java
@@ -1,12 +1,12 @@
 package damsonseam.front;
 
-import damsonseam.overload.Admission;
+import damsonseam.overload.AdmissionController;
 
 /**
  * How the front fares, written by its loop and read by the thread that admits calls. Each field is written by one
  * thread only; a reader may see one a moment older than another, which no decision minds.
  */
-final class FrontLoad implements Admission.Load {
+final class FrontLoad implements AdmissionController.Load {
     /** Weights of a new measurement of what a call costs: of a batch, and of a look at the processor time. */
     private static final double BATCH_WEIGHT = 0.05;
 
@@ -62,17 +62,17 @@
     }
 
     @Override
-    public int queuedFrom(int rank) {
+    public int queuedAtOrAbove(int rank) {
         return queue.from(rank);
     }
 
     @Override
-    public double perCall() {
+    public double costPerCallMs() {
         return perCall;
     }
 
     @Override
-    public double standing(double now) {
+    public double loopPauseMs(double now) {
         return queue.from(0) == 0 ? 0 : Math.max(0, now - turnedAt - beat);
     }
 
--- a/src/main/java/damsonseam/front/FrontReport.java
+++ b/src/main/java/damsonseam/front/FrontReport.java
@@ -1,6 +1,6 @@
 package damsonseam.front;
 
-import damsonseam.overload.Diagnosis.Cause;
+import damsonseam.overload.DelayDiagnosis.Cause;
 import java.util.Map;
 
 /**
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -5,11 +5,11 @@
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.core.CallTable;
+import damsonseam.core.CallTracer;
 import damsonseam.core.Counters;
 import damsonseam.core.NumberPlan;
 import damsonseam.core.Router;
 import damsonseam.core.RouterSettings;
-import damsonseam.core.Story;
 import damsonseam.dns.Authorities;
 import damsonseam.dns.E164Name;
 import damsonseam.dns.EnumService;
@@ -18,10 +18,10 @@
 import damsonseam.dns.Resolver;
 import damsonseam.dns.Transactions;
 import damsonseam.loop.CallLog;
-import damsonseam.loop.Loop;
-import damsonseam.overload.Admission;
-import damsonseam.overload.Gate;
-import damsonseam.overload.LoopGauge;
+import damsonseam.loop.CoreLoop;
+import damsonseam.overload.AdmissionController;
+import damsonseam.overload.LevelAdmissionController;
+import damsonseam.overload.LoopDelayGauge;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -45,7 +45,7 @@
 
     private final FrontSettings settings;
     private final MultiThreadIoEventLoopGroup group;
-    private final Loop loop;
+    private final CoreLoop loop;
     private final Router router;
     private final Resolver resolver;
     private final EnumService service;
@@ -62,7 +62,7 @@
      * @param module makes the decision module
      * @param admission makes what admits calls, once for datagrams and once for streams
      */
-    public record Parts(Function<Front.Actions, Front> module, Supplier<Admission> admission) {
+    public record Parts(Function<Front.Actions, Front> module, Supplier<AdmissionController> admission) {
         /** The project's own. */
         public static Parts own(FrontSettings settings) {
             long seed = settings.front().seed() == null
@@ -70,7 +70,8 @@
                     : settings.front().seed();
             return new Parts(
                     actions -> new Decide(settings.forModule(seed), actions),
-                    () -> new Gate(settings.levels(), settings.ranks().count(), seed));
+                    () -> new LevelAdmissionController(
+                            settings.levels(), settings.ranks().count(), seed));
         }
     }
 
@@ -79,7 +80,7 @@
         this.settings = settings;
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop eventLoop = (EventLoop) group.next();
-        loop = new Loop(eventLoop, FrontSettings.BEAT);
+        loop = new CoreLoop(eventLoop, FrontSettings.BEAT);
         trunks = new TrunkLinks(loop, settings);
         directory = new DirectoryClient(
                 loop, settings.front().name(), settings.directory().address().socket());
@@ -121,7 +122,7 @@
                 },
                 trunks,
                 directory,
-                logCalls ? new CallLog(settings.front().name()) : Story.NONE);
+                logCalls ? new CallLog(settings.front().name()) : CallTracer.NONE);
         NumberPlan plan = settings.plan();
         service = new EnumService(
                 suffix,
@@ -163,14 +164,14 @@
             loop.start(
                     () -> {
                         watch.beat(loop.now());
-                        router.beat(loop.now());
+                        router.onTick(loop.now());
                         trunks.flush();
                         listener.intake().flush();
                     },
                     () -> {
                         resolver.deliver(loop.now());
                         double before = loop.now();
-                        router.settle(before);
+                        router.endBatch(before);
                         watch.moment(before, loop.now() - before);
                         trunks.flush();
                         listener.intake().flush();
@@ -223,12 +224,12 @@
         return call(() -> {
             Counters c = router.counters();
             Intake.Counts in = listener.intake().counts();
-            LoopGauge loopGauge = watch.gauge();
-            LoopGauge intakeGauge = listener.intake().gauge();
+            LoopDelayGauge loopGauge = watch.gauge();
+            LoopDelayGauge intakeGauge = listener.intake().gauge();
             Vitals.Sample sample = watch.sample();
             return new FrontReport(
-                    c.taken,
-                    c.stood,
+                    c.received,
+                    c.established,
                     c.refused,
                     c.failed,
                     c.setUps,
@@ -238,20 +239,20 @@
                     in.queueFull,
                     in.offered,
                     in.refused,
-                    loopGauge.percentile(50),
-                    loopGauge.percentile(99),
-                    loopGauge.most(),
-                    intakeGauge.percentile(99),
-                    intakeGauge.most(),
-                    listener.load().perCall() * 1_000,
-                    sample.loopOctets() / Math.max(1, c.taken),
+                    loopGauge.percentileMs(50),
+                    loopGauge.percentileMs(99),
+                    loopGauge.maxDelayMs(),
+                    intakeGauge.percentileMs(99),
+                    intakeGauge.maxDelayMs(),
+                    listener.load().costPerCallMs() * 1_000,
+                    sample.loopOctets() / Math.max(1, c.received),
                     sample.pausedMs(),
                     sample.heap(),
                     watch.cacheRoom(),
                     watch.seconds(),
                     watch.longestMoment(),
-                    router.open(),
-                    router.owed(),
+                    router.openCalls(),
+                    router.unansweredCalls(),
                     watch.heldRoom());
         });
     }
@@ -267,7 +268,7 @@
 
     /** Calls open now, standing ones included. */
     public int openCalls() {
-        return call(router::open);
+        return call(router::openCalls);
     }
 
     /** Counts since the start; read them when the front is at rest. */
@@ -279,12 +280,12 @@
     public void drain() throws InterruptedException {
         LOG.atInfo().addKeyValue("front", settings.front().name()).log("draining");
         call(() -> {
-            router.drain();
+            router.startDraining();
             listener.stopAccepting();
             return null;
         });
         long until = System.nanoTime() + (long) (settings.limits().drain().ms() * 1e6);
-        while (call(router::unanswered) > 0 && System.nanoTime() < until) {
+        while (call(router::countUnansweredCalls) > 0 && System.nanoTime() < until) {
             Thread.sleep(POLL_MS);
         }
         close();
--- a/src/main/java/damsonseam/front/Intake.java
+++ b/src/main/java/damsonseam/front/Intake.java
@@ -2,18 +2,18 @@
 
 import damsonseam.config.FrontSettings;
 import damsonseam.core.NumberPlan;
-import damsonseam.core.QueueAge;
+import damsonseam.core.QueueAgeEstimator;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.EnumReplies;
 import damsonseam.dns.EnumService;
 import damsonseam.dns.PlainQuestion;
 import damsonseam.dns.PlainReply;
-import damsonseam.loop.Loop;
-import damsonseam.overload.Admission;
-import damsonseam.overload.HeavySenders;
-import damsonseam.overload.LoopGauge;
-import damsonseam.overload.Ranks;
-import damsonseam.overload.Remembered;
+import damsonseam.loop.CoreLoop;
+import damsonseam.overload.AdmissionController;
+import damsonseam.overload.DecisionCache;
+import damsonseam.overload.HeavySenderDetector;
+import damsonseam.overload.LoopDelayGauge;
+import damsonseam.overload.WorthRanks;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -63,22 +63,22 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop thread = (EventLoop) group.next();
-    private final Loop loop;
+    private final CoreLoop loop;
     private final PlainQuestion.Suffix suffix;
     private final NumberPlan plan;
-    private final Ranks ranks;
-    private final Admission admission;
+    private final WorthRanks ranks;
+    private final AdmissionController admission;
     private final FrontLoad load;
     private final CallQueue queue;
-    private final Remembered remembered;
+    private final DecisionCache remembered;
     private final double wayBack;
     private final long fullAdvice;
     private final Runnable wake;
     private final AtomicBoolean woken = new AtomicBoolean();
     private final MpscArrayQueue<DatagramPacket> answers = new MpscArrayQueue<>(ANSWERS);
     private final AtomicBoolean answering = new AtomicBoolean();
-    private final QueueAge age;
-    private final LoopGauge gauge = new LoopGauge(FrontSettings.BEAT);
+    private final QueueAgeEstimator age;
+    private final LoopDelayGauge gauge = new LoopDelayGauge(FrontSettings.BEAT);
     private final Counts counts;
     private Channel socket;
     private DatagramChannel direct;
@@ -112,11 +112,11 @@
 
     /** What an intake works with; {@code drain} is run by the loop when there is something in the queue. */
     Intake(
-            Loop loop,
+            CoreLoop loop,
             FrontSettings settings,
             PlainQuestion.Suffix suffix,
             NumberPlan plan,
-            Admission admission,
+            AdmissionController admission,
             FrontLoad load,
             CallQueue queue,
             Runnable drain) {
@@ -132,7 +132,7 @@
                 .mapToDouble(n -> n.patience().ms())
                 .max()
                 .orElse(0);
-        remembered = new Remembered(
+        remembered = new DecisionCache(
                 patience + settings.enumeration().keepAnswers().ms(),
                 settings.limits().questions());
         counts = new Counts(ranks.count());
@@ -140,7 +140,7 @@
         wake = drain;
         byte[] nonce = new byte[NONCE];
         new SecureRandom().nextBytes(nonce);
-        age = new QueueAge(nonce, FrontSettings.BEAT);
+        age = new QueueAgeEstimator(nonce, FrontSettings.BEAT);
     }
 
     /** Binds the socket; reading starts with {@link #start}. */
@@ -176,8 +176,8 @@
         thread.scheduleWithFixedDelay(
                 () -> {
                     double now = loop.now();
-                    gauge.beat(now);
-                    socket.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(age.marker(now)), self));
+                    gauge.recordTick(now);
+                    socket.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(age.createMarker(now)), self));
                 },
                 0,
                 every,
@@ -250,7 +250,7 @@
         return new Counts(counts);
     }
 
-    LoopGauge gauge() {
+    LoopDelayGauge gauge() {
         return gauge;
     }
 
@@ -270,7 +270,7 @@
         NumberPlan.Entry entry = plain == null ? null : plan.find(plain.number());
         if (entry == null) {
             counts.theLongWay++;
-            if (!hand(0, new CallQueue.Waiting(from, null, null, octets, now, age.age(now)))
+            if (!hand(0, new CallQueue.Waiting(from, null, null, octets, now, age.maxAge(now)))
                     && octets.length >= DnsCodec.HEADER
                     && !DnsCodec.isAnswer(octets)) {
                 send(ctx, from, EnumReplies.refused(octets));
@@ -278,13 +278,13 @@
             return;
         }
         byte[] address = from.getAddress().getAddress();
-        long fingerprint = plain.fingerprint(HeavySenders.hash(address) + from.getPort());
-        int rank = ranks.of(entry.callClass());
-        CallQueue.Waiting waiting = new CallQueue.Waiting(from, plain, entry, octets, now, age.age(now));
+        long fingerprint = plain.fingerprint(HeavySenderDetector.hash(address) + from.getPort());
+        int rank = ranks.rankOfClass(entry.callClass());
+        CallQueue.Waiting waiting = new CallQueue.Waiting(from, plain, entry, octets, now, age.maxAge(now));
         long known = remembered.find(fingerprint, now);
-        if (known != Remembered.UNKNOWN) {
+        if (known != DecisionCache.UNKNOWN) {
             counts.repeated++;
-            if (known == Remembered.TAKEN) {
+            if (known == DecisionCache.ADMITTED) {
                 // Its call is open or answered, and the loop knows how; with no room it is as if lost on the way.
                 hand(rank, waiting);
             } else {
@@ -302,10 +302,10 @@
             refuse(ctx, waiting, TOO_OLD);
             return;
         }
-        long advice = admission.decide(now, rank, HeavySenders.sender(address), load);
-        if (advice == Admission.TAKE) {
+        long advice = admission.decide(now, rank, HeavySenderDetector.senderKey(address), load);
+        if (advice == AdmissionController.ADMIT) {
             if (hand(rank, waiting)) {
-                remembered.put(fingerprint, Remembered.TAKEN, now);
+                remembered.put(fingerprint, DecisionCache.ADMITTED, now);
                 return;
             }
             counts.queueFull++;
@@ -346,7 +346,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             byte[] octets = ByteBufUtil.getBytes(packet.content());
-            if (!age.read(octets)) {
+            if (!age.consumeMarker(octets)) {
                 question(ctx, packet.sender(), octets);
             }
         }
--- a/src/main/java/damsonseam/front/ResolverSockets.java
+++ b/src/main/java/damsonseam/front/ResolverSockets.java
@@ -1,9 +1,9 @@
 package damsonseam.front;
 
-import damsonseam.core.Candidates;
+import damsonseam.core.LookupResult;
 import damsonseam.core.Router;
 import damsonseam.dns.Resolver;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -32,14 +32,14 @@
     /** Streams open at one time; one more question is left to the resolver's next try. */
     private static final int MOST_STREAMS = 64;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final List<InetSocketAddress> authorities;
     private final Channel[] sockets;
     private Resolver resolver;
     private Router router;
     private int streams;
 
-    ResolverSockets(Loop loop, List<InetSocketAddress> authorities, int count) throws InterruptedException {
+    ResolverSockets(CoreLoop loop, List<InetSocketAddress> authorities, int count) throws InterruptedException {
         this.loop = loop;
         this.authorities = authorities;
         sockets = new Channel[count];
@@ -77,7 +77,7 @@
 
     private void answer(int authority, int socket, byte[] octets) {
         resolver.answer(loop.now(), authority, socket, octets);
-        loop.kick();
+        loop.scheduleBatchEnd();
     }
 
     @Override
@@ -112,9 +112,9 @@
     }
 
     @Override
-    public void lookedUp(double now, long call, Candidates candidates) {
-        router.lookedUp(now, call, candidates);
-        loop.kick();
+    public void lookedUp(double now, long call, LookupResult candidates) {
+        router.lookupCompleted(now, call, candidates);
+        loop.scheduleBatchEnd();
     }
 
     void close() {
--- a/src/main/java/damsonseam/front/SelfWatch.java
+++ b/src/main/java/damsonseam/front/SelfWatch.java
@@ -5,14 +5,14 @@
 import damsonseam.core.Router;
 import damsonseam.dns.LookupCache;
 import damsonseam.dns.Resolver;
-import damsonseam.overload.Diagnosis;
-import damsonseam.overload.Diagnosis.Cause;
-import damsonseam.overload.HeldRoom;
-import damsonseam.overload.LoopGauge;
-import damsonseam.overload.MemoryWatch;
+import damsonseam.overload.DelayDiagnosis;
+import damsonseam.overload.DelayDiagnosis.Cause;
+import damsonseam.overload.HeldCallLimit;
+import damsonseam.overload.LoopDelayGauge;
+import damsonseam.overload.MemoryMonitor;
 import damsonseam.overload.OverloadSettings;
-import damsonseam.overload.Ranks;
 import damsonseam.overload.TablePressure;
+import damsonseam.overload.WorthRanks;
 import java.util.EnumMap;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -31,16 +31,16 @@
     private final String front;
     private final FrontSettings settings;
     private final OverloadSettings levels;
-    private final Ranks ranks;
+    private final WorthRanks ranks;
     private final Router router;
     private final Resolver resolver;
     private final LookupCache cache;
     private final FrontLoad load;
     private final Vitals vitals = new Vitals();
-    private final LoopGauge gauge = new LoopGauge(FrontSettings.BEAT);
-    private final MemoryWatch memory;
+    private final LoopDelayGauge gauge = new LoopDelayGauge(FrontSettings.BEAT);
+    private final MemoryMonitor memory;
     private final TablePressure tables;
-    private final HeldRoom held;
+    private final HeldCallLimit held;
     private double tablePressure = -1;
     private final Map<Cause, Long> seconds = new EnumMap<>(Cause.class);
     private Cause cause = Cause.CALM;
@@ -65,9 +65,9 @@
         front = settings.front().name();
         levels = settings.levels();
         ranks = settings.ranks();
-        memory = new MemoryWatch(levels);
+        memory = new MemoryMonitor(levels);
         tables = new TablePressure(levels, ranks.count());
-        held = new HeldRoom(settings.limits().calls());
+        held = new HeldCallLimit(settings.limits().calls());
     }
 
     /** Starts; called by the loop's thread. */
@@ -77,7 +77,7 @@
 
     /** Each beat of the loop. */
     void beat(double now) {
-        gauge.beat(now);
+        gauge.recordTick(now);
         load.turned(now);
         if (now < lookAt) {
             return;
@@ -86,18 +86,18 @@
         Vitals.Sample sample = vitals.sample();
         if (sample.collections() != collections) {
             collections = sample.collections();
-            memory.collected(now, sample.heap());
+            memory.recordCollection(now, sample.heap());
         }
-        long taken = router.counters().taken;
+        long taken = router.counters().received;
         load.look(sample.loopCpuMs() - cpuAtLook, (int) (taken - takenAtLook));
         cpuAtLook = sample.loopCpuMs();
         takenAtLook = taken;
-        cacheRoom = memory.cacheRoom(now);
+        cacheRoom = memory.cacheShare(now);
         cache.room(cacheRoom);
         tablePressure = Math.max(
                 memory.pressure(ranks.count()),
                 tables.pressure(
-                        router.open() / (double) settings.limits().calls(),
+                        router.openCalls() / (double) settings.limits().calls(),
                         resolver.out() / (double) settings.limits().lookups(),
                         sample.files()));
         if (Double.isNaN(diagnoseAt)) {
@@ -112,24 +112,24 @@
         Counters counters = router.counters();
         long setUps = counters.setUps - setUpsBefore;
         long late = counters.timedOut - lateBefore;
-        Diagnosis.Window window = new Diagnosis.Window(
-                gauge.takeLongest(),
+        DelayDiagnosis.Window window = new DelayDiagnosis.Window(
+                gauge.takeMaxDelayMs(),
                 sample.loopCpuMs() - before.loopCpuMs(),
                 sample.pausedMs() - before.pausedMs(),
                 setUps == 0 ? 0 : late / (double) setUps);
-        Cause found = Diagnosis.of(window, levels.delayCeiling());
+        Cause found = DelayDiagnosis.diagnose(window, levels.delayCeiling());
         seconds.merge(found, 1L, Long::sum);
         if (found != cause) {
             (found == Cause.CALM ? LOG.atInfo() : LOG.atWarn())
                     .addKeyValue("front", front)
                     .addKeyValue("state", found.toString())
-                    .addKeyValue("delayMs", Math.round(window.delay()))
-                    .addKeyValue("loopCpuMs", Math.round(window.loopCpu()))
-                    .addKeyValue("collectorMs", Math.round(window.collector()))
+                    .addKeyValue("delayMs", Math.round(window.maxDelayMs()))
+                    .addKeyValue("loopCpuMs", Math.round(window.loopCpuMs()))
+                    .addKeyValue("collectorMs", Math.round(window.collectorPauseMs()))
                     .addKeyValue("momentMs", Math.round(momentInWindow))
                     .addKeyValue("heap", sample.heap())
                     .addKeyValue("cpu", sample.cpu())
-                    .addKeyValue("perCallUs", Math.round(load.perCall() * 1_000))
+                    .addKeyValue("perCallUs", Math.round(load.costPerCallMs() * 1_000))
                     .log("front state");
             cause = found;
         }
@@ -142,11 +142,11 @@
 
     /** The module has taken so long for a moment, in milliseconds. */
     void moment(double now, double ms) {
-        held.moment(now, ms, router.owed());
+        held.recordBatch(now, ms, router.unansweredCalls());
         // The module serves the dear first, so a call meets only the held ones of its own rank and above.
         double[] pressure = new double[ranks.count()];
         for (int c = 0; c < settings.classes().size(); c++) {
-            pressure[ranks.of(c)] += router.owed(c);
+            pressure[ranks.rankOfClass(c)] += router.unansweredCalls(c);
         }
         double from = 0;
         for (int rank = ranks.count() - 1; rank >= 0; rank--) {
@@ -168,7 +168,7 @@
         longestMoment = 0;
     }
 
-    LoopGauge gauge() {
+    LoopDelayGauge gauge() {
         return gauge;
     }
 
@@ -181,7 +181,7 @@
     }
 
     double heldRoom() {
-        return held.room();
+        return held.limit();
     }
 
     double cacheRoom() {
--- a/src/main/java/damsonseam/front/StreamListener.java
+++ b/src/main/java/damsonseam/front/StreamListener.java
@@ -3,7 +3,7 @@
 import damsonseam.core.CallRecord;
 import damsonseam.core.Router;
 import damsonseam.dns.EnumService;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -48,7 +48,7 @@
     /** A reader that takes nothing for so long is closed. */
     private static final int SLOW_MS = 5_000;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final EnumService service;
     private final Router router;
     private final EnumService.Gate gate;
@@ -59,7 +59,7 @@
 
     private Channel server;
 
-    StreamListener(Loop loop, EnumService service, Router router, EnumService.Gate gate, int most) {
+    StreamListener(CoreLoop loop, EnumService service, Router router, EnumService.Gate gate, int most) {
         this.loop = loop;
         this.service = service;
         this.router = router;
@@ -140,7 +140,7 @@
                     loop.now(),
                     ctx.channel(),
                     true,
-                    router.turnAge(loop.now()),
+                    router.maxReadAge(loop.now()),
                     ByteBufUtil.getBytes(frame),
                     gate,
                     answer -> {
@@ -155,7 +155,7 @@
                 open.put(opened[0].id(), opened[0]);
             }
             rest(ctx);
-            loop.kick();
+            loop.scheduleBatchEnd();
         }
 
         /** Reads on where that does no harm; a connection without open questions may have to make way. */
@@ -193,9 +193,9 @@
             all.remove(ctx.channel());
             idle.remove(ctx.channel());
             // Nobody is there to hear the answers: the calls are their callers' no more.
-            open.values().forEach(call -> router.left(loop.now(), call));
+            open.values().forEach(call -> router.callerAbandoned(loop.now(), call));
             open.clear();
-            loop.kick();
+            loop.scheduleBatchEnd();
         }
 
         @Override
--- a/src/main/java/damsonseam/front/TrunkLink.java
+++ b/src/main/java/damsonseam/front/TrunkLink.java
@@ -4,10 +4,10 @@
 import damsonseam.Front.Report;
 import damsonseam.Front.Result;
 import damsonseam.config.FrontSettings;
-import damsonseam.core.Circuits;
-import damsonseam.core.Pool;
+import damsonseam.core.CircuitAllocator;
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.core.ServerList;
+import damsonseam.loop.CoreLoop;
 import damsonseam.ss7.AspSession;
 import damsonseam.ss7.Isup;
 import damsonseam.ss7.M3ua;
@@ -42,10 +42,10 @@
     /** Octets waiting to be sent beyond which the far end is taken not to read: no set-up goes there then. */
     private static final int MOST_UNSENT = 1 << 20;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final Router router;
     private final FrontSettings settings;
-    private Pool.Server server;
+    private ServerList.Server server;
     private final AspSession session;
     private final TrunkGroup group;
     private Channel channel;
@@ -55,7 +55,7 @@
     private boolean unsent;
     private boolean closedHere;
 
-    TrunkLink(Loop loop, Router router, FrontSettings settings, Pool.Server server) {
+    TrunkLink(CoreLoop loop, Router router, FrontSettings settings, ServerList.Server server) {
         this.loop = loop;
         this.router = router;
         this.settings = settings;
@@ -71,7 +71,7 @@
                 t.probeTimeout().ms(),
                 t.heartbeat().ms());
         group = new TrunkGroup(
-                new Circuits(t.circuits(), own > server.pointCode()),
+                new CircuitAllocator(t.circuits(), own > server.pointCode()),
                 loop.timers(),
                 new TrunkGroup.Times(t.t1().ms(), t.t5().ms(), t.t17().ms()),
                 own,
@@ -80,7 +80,7 @@
     }
 
     /** The list names this server, perhaps at a new address. */
-    void update(Pool.Server now) {
+    void update(ServerList.Server now) {
         boolean moved = !now.address().equals(server.address());
         server = now;
         wanted = true;
@@ -177,7 +177,7 @@
         // Fronts lose a server together: half to all of the pause keeps their connections apart.
         double wait = pause * (0.5 + 0.5 * Math.random());
         pause = Math.min(MOST_PAUSE, 2 * pause);
-        loop.timers().set(loop.now() + wait, now -> {
+        loop.timers().schedule(loop.now() + wait, now -> {
             if (wanted && channel == null) {
                 connect();
             }
@@ -254,13 +254,13 @@
 
         @Override
         public void probed(boolean answered, double delay) {
-            router.probed(loop.now(), server.id(), true, answered, delay, Report.NONE);
-            loop.kick();
+            router.probeCompleted(loop.now(), server.id(), true, answered, delay, Report.NONE);
+            loop.scheduleBatchEnd();
         }
 
         @Override
         public void stands(double now, long call, int attempt, Report report) {
-            router.stands(now, call, attempt, report);
+            router.callEstablished(now, call, attempt, report);
         }
 
         @Override
@@ -273,18 +273,18 @@
                 OptionalDouble toldWait,
                 Report report) {
             if (closedHere) {
-                loop.timers().set(now + settings.trunks().releaseWait().ms(), at -> {
-                    router.ended(at, call, attempt, result, reason, toldWait, report);
-                    loop.kick();
+                loop.timers().schedule(now + settings.trunks().releaseWait().ms(), at -> {
+                    router.attemptEnded(at, call, attempt, result, reason, toldWait, report);
+                    loop.scheduleBatchEnd();
                 });
             } else {
-                router.ended(now, call, attempt, result, reason, toldWait, report);
+                router.attemptEnded(now, call, attempt, result, reason, toldWait, report);
             }
         }
 
         @Override
         public void released(double now, long call, int attempt) {
-            router.released(now, call, attempt);
+            router.releaseConfirmed(now, call, attempt);
         }
     }
 
@@ -303,7 +303,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            router.catchUp(loop.now());
+            router.fireOverdueTimers(loop.now());
             byte[] octets = ByteBufUtil.getBytes(frame);
             try {
                 session.received(loop.now(), M3ua.decode(octets));
@@ -314,7 +314,7 @@
                         Unpooled.wrappedBuffer(M3ua.error(e.code(), octets).encode()));
             }
             closeIfIdle();
-            loop.kick();
+            loop.scheduleBatchEnd();
         }
 
         @Override
@@ -324,7 +324,7 @@
             session.closed(now);
             group.connectionLost(now);
             closedHere = false;
-            loop.kick();
+            loop.scheduleBatchEnd();
             again();
         }
 
--- a/src/main/java/damsonseam/front/TrunkLinks.java
+++ b/src/main/java/damsonseam/front/TrunkLinks.java
@@ -6,10 +6,10 @@
 import damsonseam.Front.State;
 import damsonseam.config.FrontSettings;
 import damsonseam.core.CallRecord;
-import damsonseam.core.Pool;
-import damsonseam.core.Ports;
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.ServerList;
+import damsonseam.loop.CoreLoop;
 import damsonseam.ss7.Isup;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -17,19 +17,20 @@
 import java.util.Set;
 
 /** The trunk groups of one front, one for each server that the list has named. */
-final class TrunkLinks implements Ports.Trunks {
+final class TrunkLinks implements RouterPorts.ServerSignalling {
     /** Calling party's category: ordinary subscriber (Q.763 3.11). */
     private static final int ORDINARY = 0x0a;
 
-    private static final Ports.NotSent UNREACHABLE = new Ports.NotSent(Result.UNREACHABLE, Reason.NONE);
-    private static final Ports.NotSent NO_LINE = new Ports.NotSent(Result.FULL, Reason.NO_LINE);
+    private static final RouterPorts.SendFailure UNREACHABLE =
+            new RouterPorts.SendFailure(Result.UNREACHABLE, Reason.NONE);
+    private static final RouterPorts.SendFailure NO_LINE = new RouterPorts.SendFailure(Result.FULL, Reason.NO_LINE);
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final FrontSettings settings;
     private final Map<String, TrunkLink> links = new HashMap<>();
     private Router router;
 
-    TrunkLinks(Loop loop, FrontSettings settings) {
+    TrunkLinks(CoreLoop loop, FrontSettings settings) {
         this.loop = loop;
         this.settings = settings;
     }
@@ -39,9 +40,9 @@
     }
 
     /** Follows the list: new servers get a link, those gone from it lose theirs once their calls are over. */
-    void follow(Pool pool) {
+    void follow(ServerList pool) {
         Set<String> listed = new HashSet<>();
-        for (Pool.Server server : pool.servers()) {
+        for (ServerList.Server server : pool.servers()) {
             listed.add(server.id());
             TrunkLink link = links.get(server.id());
             if (link == null) {
@@ -59,7 +60,8 @@
     }
 
     @Override
-    public Ports.NotSent setUp(double now, String server, long call, int attempt, double until, CallRecord record) {
+    public RouterPorts.SendFailure sendSetUp(
+            double now, String server, long call, int attempt, double until, CallRecord record) {
         TrunkLink link = links.get(server);
         if (link == null || !link.usable()) {
             return UNREACHABLE;
@@ -68,7 +70,7 @@
     }
 
     @Override
-    public double release(double now, String server, long call, int attempt, boolean timedOut) {
+    public double sendRelease(double now, String server, long call, int attempt, boolean timedOut) {
         TrunkLink link = links.get(server);
         if (link != null) {
             link.release(now, call, attempt, timedOut ? Isup.TIMER_EXPIRED : Isup.NORMAL_CLEARING);
@@ -78,12 +80,12 @@
     }
 
     @Override
-    public void probe(double now, String server) {
+    public void sendProbe(double now, String server) {
         TrunkLink link = links.get(server);
         if (link != null && link.usable()) {
             link.probe(now);
         } else {
-            loop.timers().set(now, at -> router.probed(at, server, true, false, 0, Report.NONE));
+            loop.timers().schedule(now, at -> router.probeCompleted(at, server, true, false, 0, Report.NONE));
         }
     }
 
@@ -95,7 +97,7 @@
     /** Whether every running server of the list can be sent to. */
     boolean ready() {
         return !links.isEmpty()
-                && router.pool().servers().stream()
+                && router.serverList().servers().stream()
                         .filter(s -> s.state() == State.RUNNING)
                         .allMatch(s ->
                                 links.containsKey(s.id()) && links.get(s.id()).usable());
--- a/src/main/java/damsonseam/loop/Loop.java
+++ b/src/main/java/damsonseam/loop/CoreLoop.java
@@ -1,24 +1,24 @@
 package damsonseam.loop;
 
-import damsonseam.core.Timers;
+import damsonseam.core.TimerWheel;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
 /**
  * The turn of the one event loop: all that came at once is handed to the core first, and the module acts when
- * the loop has read what there was. {@link #kick} asks for that once a turn, however many events came.
+ * the loop has read what there was. {@link #scheduleBatchEnd} asks for that once a turn, however many events came.
  */
-public final class Loop {
+public final class CoreLoop {
     /** A turn longer than this may have kept the sockets unread for too long. */
-    private static final long LONG_TURN_NS = 10_000_000;
+    private static final long LONG_ITERATION_NS = 10_000_000;
     /** Further turns that something waits for at the most while turns are long. */
-    private static final int MOST_TURNS = 3;
+    private static final int MAX_EXTRA_ITERATIONS = 3;
 
     private final EventLoop eventLoop;
     private final double beat;
     private final long origin = System.nanoTime();
-    private final Timers timers = new Timers(0);
+    private final TimerWheel timers = new TimerWheel(0);
     private Runnable settle = () -> {};
     private boolean asked;
     private ScheduledFuture<?> beats;
@@ -28,7 +28,7 @@
      *
      * @param beat time between two beats, in milliseconds
      */
-    public Loop(EventLoop eventLoop, double beat) {
+    public CoreLoop(EventLoop eventLoop, double beat) {
         this.eventLoop = eventLoop;
         this.beat = beat;
     }
@@ -40,7 +40,7 @@
         beats = eventLoop.scheduleWithFixedDelay(
                 () -> {
                     onBeat.run();
-                    kick();
+                    scheduleBatchEnd();
                 },
                 every,
                 every,
@@ -53,7 +53,7 @@
     }
 
     /** The timers that the beat fires. */
-    public Timers timers() {
+    public TimerWheel timers() {
         return timers;
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** Something was handed to the core: it acts when this turn has read all there is. */
-    public void kick() {
+    public void scheduleBatchEnd() {
         if (!asked) {
             asked = true;
             eventLoop.execute(() -> {
@@ -78,17 +78,17 @@
      * was made, then counts before the decision is carried out. Where this turn or the next is a long one, the sockets
      * are read once more, some turns at the most.
      */
-    public void afterReads(Runnable what) {
-        afterReads(what, MOST_TURNS);
+    public void runAfterReads(Runnable what) {
+        runAfterReads(what, MAX_EXTRA_ITERATIONS);
     }
 
-    private void afterReads(Runnable what, int turns) {
+    private void runAfterReads(Runnable what, int turns) {
         long asked = System.nanoTime();
         // A task scheduled by a task is fetched in the next turn, behind its reads.
         eventLoop.execute(() -> eventLoop.schedule(
                 () -> {
-                    if (turns > 0 && System.nanoTime() - asked > LONG_TURN_NS) {
-                        afterReads(what, turns - 1);
+                    if (turns > 0 && System.nanoTime() - asked > LONG_ITERATION_NS) {
+                        runAfterReads(what, turns - 1);
                     } else {
                         what.run();
                     }
--- a/src/main/java/damsonseam/node/CallBook.java
+++ b/src/main/java/damsonseam/node/CallBook.java
@@ -167,15 +167,15 @@
         SipMessage refusal = said.kind() == FinalAnswer.Kind.REFUSED
                 ? SipMessage.answer(TURNED_AWAY, "Service Unavailable", call.id, call.cseq)
                 : SipMessage.answer(FAILED, "Server Internal Error", call.id, call.cseq);
-        if (said.returnAfter() >= 1) {
-            refusal.with("X-Pause", Long.toString(Math.round(said.returnAfter())));
+        if (said.retryAfterMs() >= 1) {
+            refusal.with("X-Pause", Long.toString(Math.round(said.retryAfterMs())));
         }
         caller.send(refusal, null);
     }
 
     /** The caller gave a set-up up before its answer. */
     void givenUp(NodeCall call) {
-        router.left(router.now(), call.record);
+        router.callerAbandoned(router.now(), call.record);
         forget(call);
     }
 
@@ -197,7 +197,7 @@
         endedAt(call.standsAt.id(), call.id, cause);
         tell(call, "over: " + result);
         if (call.record != null) {
-            router.ended(
+            router.attemptEnded(
                     router.now(),
                     call.record.id(),
                     call.record.attempts() - 1,
--- a/src/main/java/damsonseam/node/CallSettings.java
+++ b/src/main/java/damsonseam/node/CallSettings.java
@@ -1,7 +1,7 @@
 package damsonseam.node;
 
-import damsonseam.settings.ReportFields;
-import damsonseam.settings.StartSettings;
+import damsonseam.settings.LoadReportParser;
+import damsonseam.settings.PlatformSettings;
 import damsonseam.sip.SipMessage;
 import java.util.List;
 
@@ -16,16 +16,16 @@
     private static final String SCHEME = "sip:";
 
     private final List<String> classes;
-    private final ReportFields reports;
+    private final LoadReportParser reports;
     private final double longestWait;
 
-    CallSettings(StartSettings settings) {
+    CallSettings(PlatformSettings settings) {
         classes = settings.classNames();
-        longestWait = settings.settings(0).classes().stream()
+        longestWait = settings.moduleSettings(0).classes().stream()
                 .mapToDouble(c -> c.deadline().orElse(LONGEST_WAIT))
                 .max()
                 .orElse(LONGEST_WAIT);
-        reports = new ReportFields(settings.reportFields(), ';');
+        reports = new LoadReportParser(settings.reportFields(), ';');
     }
 
     /** The longest that a caller of any class waits for an answer, in milliseconds. */
@@ -33,7 +33,7 @@
         return longestWait;
     }
 
-    ReportFields reports() {
+    LoadReportParser reports() {
         return reports;
     }
 
--- a/src/main/java/damsonseam/node/CallerLink.java
+++ b/src/main/java/damsonseam/node/CallerLink.java
@@ -177,10 +177,10 @@
 
     private void giveUpAll() {
         if (!open.isEmpty()) {
-            listener.router().clock(listener.loop().now());
+            listener.router().advanceClock(listener.loop().now());
             new ArrayList<>(open).forEach(call -> listener.book().givenUp(call));
             open.clear();
-            listener.loop().kick();
+            listener.loop().scheduleBatchEnd();
         }
     }
 
@@ -221,11 +221,11 @@
         heardAt = now;
         spoke = true;
         listener.heard(this);
-        listener.router().catchUp(now);
-        listener.router().clock(now);
+        listener.router().fireOverdueTimers(now);
+        listener.router().advanceClock(now);
         if (message.isRequest()) {
             request(message, now);
-            listener.loop().kick();
+            listener.loop().scheduleBatchEnd();
         } else if (message.cseqMethod().equals(SipMessage.BYE) && message.status() == SipMessage.OK) {
             listener.book().releases().heard(this, String.valueOf(message.callId()));
         }
@@ -288,13 +288,13 @@
         book.taken(
                 call,
                 listener.router()
-                        .routed(
+                        .routedCallReceived(
                                 now,
                                 asked.number(),
                                 asked.callClass(),
                                 asked.destination(),
                                 asked.patience(),
-                                listener.router().turnAge(now),
+                                listener.router().maxReadAge(now),
                                 asked.redialled(),
                                 call));
     }
--- a/src/main/java/damsonseam/node/CallerListener.java
+++ b/src/main/java/damsonseam/node/CallerListener.java
@@ -1,7 +1,7 @@
 package damsonseam.node;
 
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import damsonseam.sip.SipDecoder;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -39,7 +39,7 @@
 
     private static final double SWEEP_MS = 50;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final CallSettings settings;
     private final CallBook book;
     private final ServerLinks servers;
@@ -58,7 +58,7 @@
     private double acceptsFrom = Double.NEGATIVE_INFINITY;
 
     CallerListener(
-            Loop loop,
+            CoreLoop loop,
             CallSettings settings,
             CallBook book,
             ServerLinks servers,
@@ -74,7 +74,7 @@
 
     void start(Router router) {
         this.router = router;
-        loop.timers().set(loop.now() + SWEEP_MS, this::sweep);
+        loop.timers().schedule(loop.now() + SWEEP_MS, this::sweep);
     }
 
     /** Opens the port. */
@@ -233,14 +233,14 @@
         });
         over.forEach(link -> link.close("silent or idle"));
         makeRoom(now);
-        loop.timers().set(now + SWEEP_MS, this::sweep);
+        loop.timers().schedule(now + SWEEP_MS, this::sweep);
     }
 
     boolean ready() {
         return ready.getAsBoolean();
     }
 
-    Loop loop() {
+    CoreLoop loop() {
         return loop;
     }
 
--- a/src/main/java/damsonseam/node/CoordinatorClient.java
+++ b/src/main/java/damsonseam/node/CoordinatorClient.java
@@ -2,10 +2,10 @@
 
 import damsonseam.Front.State;
 import damsonseam.config.Endpoint;
-import damsonseam.core.Pool;
-import damsonseam.core.Ports;
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.ServerList;
+import damsonseam.loop.CoreLoop;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -29,7 +29,7 @@
  * number had. There is one watch at a time, and each one that ends is followed by one backoff, whoever asks: a fleet
  * that loses its coordinator must not storm it when it returns.
  */
-final class CoordinatorClient implements Ports.Directory {
+final class CoordinatorClient implements RouterPorts.Directory {
     private static final Logger LOG = LoggerFactory.getLogger(CoordinatorClient.class);
     /** A frame comes each second; two missing ones would be late for what a silent coordinator owes. */
     private static final double SILENCE_MS = 1_500;
@@ -39,9 +39,9 @@
     private static final int CONNECT_MS = 500;
     private static final int HEADER = 9;
     private static final int RECORD = 27;
-    private static final int MOST_FRAME = HEADER + RECORD * Pool.MOST_SERVERS;
+    private static final int MOST_FRAME = HEADER + RECORD * ServerList.MAX_SERVERS;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final ServerLinks servers;
     private final SplittableRandom random;
     private Router router;
@@ -57,7 +57,7 @@
     private boolean closed;
 
     /** @param seed spreads the backoffs of a fleet */
-    CoordinatorClient(Loop loop, ServerLinks servers, Endpoint address, long seed) {
+    CoordinatorClient(CoreLoop loop, ServerLinks servers, Endpoint address, long seed) {
         this.loop = loop;
         this.servers = servers;
         this.address = address;
@@ -73,13 +73,13 @@
 
     /** The module asks for the list before the start, which connects by itself, or when it was told of a failure. */
     @Override
-    public void follow() {
-        fetch();
+    public void subscribeToUpdates() {
+        requestServerList();
     }
 
     /** Asks from the last number had, after the backoff; while an ask is out that is the one. */
     @Override
-    public void fetch() {
+    public void requestServerList() {
         if (channel != null) {
             broke(generation, "asked for");
         }
@@ -137,7 +137,7 @@
     }
 
     private void lookAt(long of) {
-        loop.timers().set(loop.now() + SILENCE_MS / 4, now -> {
+        loop.timers().schedule(loop.now() + SILENCE_MS / 4, now -> {
             if (of != generation) {
                 return;
             }
@@ -155,12 +155,12 @@
         }
         LOG.atInfo()
                 .addKeyValue("why", why)
-                .addKeyValue("last", router.pool().version())
+                .addKeyValue("last", router.serverList().version())
                 .log("coordinator lost");
         long next = leave();
         double wait = backoff * (0.5 + 0.5 * random.nextDouble());
         backoff = Math.min(MOST_BACKOFF_MS, 2 * backoff);
-        loop.timers().set(loop.now() + wait, now -> {
+        loop.timers().schedule(loop.now() + wait, now -> {
             if (next == generation) {
                 watch();
             }
@@ -170,7 +170,7 @@
     /** One frame; null says that nothing is new, as of {@code number}. */
     private void received(long of, long number, ListEvent event) {
         heardAt = loop.now();
-        if (event != null ? apply(event) : number <= router.pool().version() || number <= missed) {
+        if (event != null ? apply(event) : number <= router.serverList().version() || number <= missed) {
             backoff = FIRST_BACKOFF_MS;
             return;
         }
@@ -181,13 +181,13 @@
 
     /** Events that were had already are passed over; a gap asks again from the last number had. */
     private boolean apply(ListEvent event) {
-        if (event.number() <= router.pool().version()) {
+        if (event.number() <= router.serverList().version()) {
             return true;
         }
         double now = loop.now();
-        boolean gap =
-                router.directory(now, event.number(), event.full(), event.servers(now, System.currentTimeMillis()));
-        servers.follow(router.pool());
+        boolean gap = router.serverListUpdated(
+                now, event.number(), event.full(), event.servers(now, System.currentTimeMillis()));
+        servers.follow(router.serverList());
         LOG.atInfo()
                 .addKeyValue("number", event.number())
                 .addKeyValue("full", event.full())
@@ -251,7 +251,8 @@
                 return;
             }
             channel = ctx.channel();
-            ctx.writeAndFlush(ctx.alloc().buffer(8).writeLong(router.pool().version()));
+            ctx.writeAndFlush(
+                    ctx.alloc().buffer(8).writeLong(router.serverList().version()));
         }
 
         @Override
@@ -264,7 +265,7 @@
             }
             long number = frame.readLong();
             received(of, number, read(number, frame));
-            loop.kick();
+            loop.scheduleBatchEnd();
         }
 
         @Override
--- a/src/main/java/damsonseam/node/ListEvent.java
+++ b/src/main/java/damsonseam/node/ListEvent.java
@@ -1,7 +1,7 @@
 package damsonseam.node;
 
 import damsonseam.Front.State;
-import damsonseam.core.Pool;
+import damsonseam.core.ServerList;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.OptionalDouble;
@@ -27,10 +27,10 @@
     record Entry(String id, String address, int cell, State state, long upSince) {}
 
     /** The entries on the node's own clock, which reads {@code now} at the Unix millisecond {@code unix}. */
-    List<Pool.Server> servers(double now, long unix) {
-        List<Pool.Server> servers = new ArrayList<>(entries.size());
+    List<ServerList.Server> servers(double now, long unix) {
+        List<ServerList.Server> servers = new ArrayList<>(entries.size());
         for (Entry e : entries) {
-            servers.add(new Pool.Server(
+            servers.add(new ServerList.Server(
                     e.id,
                     e.cell,
                     e.address,
--- a/src/main/java/damsonseam/node/NodeCall.java
+++ b/src/main/java/damsonseam/node/NodeCall.java
@@ -2,13 +2,13 @@
 
 import damsonseam.core.CallRecord;
 import damsonseam.core.FinalAnswer;
-import damsonseam.core.Ports;
+import damsonseam.core.RouterPorts;
 
 /**
  * What the protocol keeps of one call beside the core's record: what is passed on unchanged, and who is owed
  * what. A call that stood before this node's start has no record, as the module never had it.
  */
-final class NodeCall implements Ports.Caller {
+final class NodeCall implements RouterPorts.Caller {
     /** The id that the caller gave. */
     final String id;
     /** The address of the set-up's first line. */
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void answered(double now, CallRecord call, FinalAnswer said) {
+    public void onFinalAnswer(double now, CallRecord call, FinalAnswer said) {
         book.answered(now, this, call, said);
     }
 }
--- a/src/main/java/damsonseam/node/NodeConfig.java
+++ b/src/main/java/damsonseam/node/NodeConfig.java
@@ -5,7 +5,7 @@
 import damsonseam.Front.State;
 import damsonseam.config.Endpoint;
 import damsonseam.config.SettingsException;
-import damsonseam.settings.StartSettings;
+import damsonseam.settings.PlatformSettings;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -35,7 +35,7 @@
         int memoryMb,
         Endpoint coordinator,
         List<ListEvent> known,
-        StartSettings settings) {
+        PlatformSettings settings) {
     /** Octets of the file at the most: it is read whole. */
     private static final int MOST = 4 << 20;
 
@@ -67,7 +67,8 @@
                 limits.path("memory_mb").asInt(0),
                 Endpoint.of(need(root, "coordinator").asText()),
                 events(root.path("known").path("updates")),
-                new StartSettings(paths, expected -> new IllegalArgumentException("settings: expected " + expected)));
+                new PlatformSettings(
+                        paths, expected -> new IllegalArgumentException("settings: expected " + expected)));
     }
 
     private static JsonNode need(JsonNode root, String key) {
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -4,12 +4,12 @@
 import damsonseam.Front.CallClass;
 import damsonseam.Front.Settings;
 import damsonseam.core.CallTable;
+import damsonseam.core.CallTracer;
 import damsonseam.core.Counters;
 import damsonseam.core.Router;
 import damsonseam.core.RouterSettings;
-import damsonseam.core.Story;
 import damsonseam.loop.CallLog;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.EventLoop;
@@ -52,7 +52,7 @@
 
     private final NodeConfig config;
     private final MultiThreadIoEventLoopGroup group;
-    private final Loop loop;
+    private final CoreLoop loop;
     private final Releases releases;
     private final CallBook book;
     private final ServerLinks servers;
@@ -67,10 +67,10 @@
     private NodeServer(NodeConfig config) {
         this.config = config;
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        loop = new Loop((EventLoop) group.next(), BEAT);
+        loop = new CoreLoop((EventLoop) group.next(), BEAT);
         releases = new Releases(loop);
         book = new CallBook(releases);
-        Settings module = config.settings().settings(config.seed());
+        Settings module = config.settings().moduleSettings(config.seed());
         classes = module.classes();
         CallSettings calls = new CallSettings(config.settings());
         int links = Math.min(MOST_SERVER_CONNECTIONS, config.sockets() / SERVERS_SHARE);
@@ -86,7 +86,7 @@
         callers = new CallerListener(loop, calls, book, servers, config.sockets() - OWN_DESCRIPTORS, this::ready);
         coordinator = new CoordinatorClient(loop, servers, config.coordinator(), config.seed());
         int most = Math.min(
-                config.settings().mostHeld().orElse(MOST_HELD),
+                config.settings().maxHeldCalls().orElse(MOST_HELD),
                 config.memoryMb() > 0 ? config.memoryMb() * CALLS_A_MB : MOST_HELD);
         router = new Router(
                 new RouterSettings(module, most, BEAT, RELEASE_WAIT, LAST_MOMENT),
@@ -98,7 +98,9 @@
                 },
                 servers,
                 coordinator,
-                LoggerFactory.getLogger(CallLog.NAME).isInfoEnabled() ? new CallLog(config.name()) : Story.NONE);
+                LoggerFactory.getLogger(CallLog.LOGGER_NAME).isInfoEnabled()
+                        ? new CallLog(config.name())
+                        : CallTracer.NONE);
     }
 
     /** Starts a front node; returns when its port is open. */
@@ -120,8 +122,8 @@
             servers.start(router);
             callers.start(router);
             coordinator.start(router, config.known());
-            loop.start(this::beat, () -> router.settle(loop.now()));
-            loop.kick();
+            loop.start(this::beat, () -> router.endBatch(loop.now()));
+            loop.scheduleBatchEnd();
             return null;
         });
         callers.bind(config.listen().socket());
@@ -138,7 +140,7 @@
             LOG.atInfo().addKeyValue("ms", Math.round(now - beatAt)).log("stood still");
         }
         beatAt = now;
-        router.beat(now);
+        router.onTick(now);
     }
 
     private boolean ready() {
@@ -177,7 +179,7 @@
     }
 
     private int owed() {
-        return call(() -> router.owed());
+        return call(() -> router.unansweredCalls());
     }
 
     /** Calls of callers, those that stand included. */
@@ -197,7 +199,7 @@
 
     /** Number of the last change of the list. */
     long listVersion() {
-        return call(() -> router.pool().version());
+        return call(() -> router.serverList().version());
     }
 
     /**
@@ -216,15 +218,15 @@
     Beliefs beliefs() {
         return call(() -> new Beliefs(
                 book.size(),
-                router.open(),
-                router.owed(),
+                router.openCalls(),
+                router.unansweredCalls(),
                 servers.attempts(),
                 servers.carried(),
                 servers.standing(),
                 book.named()));
     }
 
-    Loop loop() {
+    CoreLoop loop() {
         return loop;
     }
 
--- a/src/main/java/damsonseam/node/Releases.java
+++ b/src/main/java/damsonseam/node/Releases.java
@@ -1,7 +1,7 @@
 package damsonseam.node;
 
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import damsonseam.sip.SipHeaders;
 import damsonseam.sip.SipMessage;
 import java.util.ArrayList;
@@ -50,7 +50,7 @@
         }
     }
 
-    private final Loop loop;
+    private final CoreLoop loop;
     /** By ids of calls, in the order of their ends. */
     private final Map<String, Owed> owed = new LinkedHashMap<>();
 
@@ -59,14 +59,14 @@
     /** Whether callers answer a BYE here: its 200 is theirs to leave out, and then its absence proves nothing. */
     private boolean proofs;
 
-    Releases(Loop loop) {
+    Releases(CoreLoop loop) {
         this.loop = loop;
     }
 
     void start(Router router, CallerListener callers) {
         this.router = router;
         this.callers = callers;
-        loop.timers().set(loop.now() + SWEEP_MS, this::sweep);
+        loop.timers().schedule(loop.now() + SWEEP_MS, this::sweep);
     }
 
     /** Releases said just now whose proof may still come; those that wait for a connection are not counted. */
@@ -168,6 +168,6 @@
         if (proofs) {
             again(o -> o.on != null && now - o.saidAt > PROOF_MS);
         }
-        loop.timers().set(now + SWEEP_MS, this::sweep);
+        loop.timers().schedule(now + SWEEP_MS, this::sweep);
     }
 }
--- a/src/main/java/damsonseam/node/ServerLink.java
+++ b/src/main/java/damsonseam/node/ServerLink.java
@@ -5,8 +5,8 @@
 import damsonseam.Front.Result;
 import damsonseam.Front.State;
 import damsonseam.config.Endpoint;
-import damsonseam.core.Pool;
 import damsonseam.core.Router;
+import damsonseam.core.ServerList;
 import damsonseam.sip.SipDecoder;
 import damsonseam.sip.SipHeaders;
 import damsonseam.sip.SipMessage;
@@ -59,7 +59,7 @@
 
     private final ServerLinks.Shared shared;
     private final Router router;
-    private Pool.Server server;
+    private ServerList.Server server;
     private final List<ServerConnection> connections = new ArrayList<>();
     private final Map<String, Attempt> attempts = new HashMap<>();
     private final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
@@ -115,7 +115,7 @@
     /** A test that is not answered yet; the module hears of those that it asked for. */
     private record Test(double sentAt, boolean asked, ServerConnection on) {}
 
-    ServerLink(ServerLinks.Shared shared, Router router, Pool.Server server) {
+    ServerLink(ServerLinks.Shared shared, Router router, ServerList.Server server) {
         this.shared = shared;
         this.router = router;
         this.server = server;
@@ -167,8 +167,8 @@
     // ---- The list ---------------------------------------------------------------------------------------
 
     /** The list names this server, perhaps with a later start or draining. */
-    void update(Pool.Server news) {
-        Pool.Server old = server;
+    void update(ServerList.Server news) {
+        ServerList.Server old = server;
         listed = true;
         if (replaced && news.address().equals(old.address())) {
             return; // The list still names it: its end has not been told yet.
@@ -289,7 +289,7 @@
             }
             again();
         }
-        shared.loop().kick();
+        shared.loop().scheduleBatchEnd();
     }
 
     /** A connection is gone: what was out on it may have run. */
@@ -305,7 +305,7 @@
         // A release may have been on its way here: the server says it again on the next connection that is opened.
         oneMore = connecting;
         connect();
-        router.clock(now());
+        router.advanceClock(now());
         for (Attempt a : List.copyOf(attempts.values())) {
             if (a.on == connection && a.sent) {
                 a.of.brokeAt = this;
@@ -317,14 +317,14 @@
         tests.entrySet().removeIf(e -> {
             boolean lost = e.getValue().on == connection;
             if (lost && e.getValue().asked) {
-                router.probed(now(), server.id(), true, false, now() - e.getValue().sentAt, Report.NONE);
+                router.probeCompleted(now(), server.id(), true, false, now() - e.getValue().sentAt, Report.NONE);
             }
             return lost;
         });
         if (connections.isEmpty() && !wanted) {
             cut(call -> true);
         }
-        shared.loop().kick();
+        shared.loop().scheduleBatchEnd();
     }
 
     private void again() {
@@ -335,7 +335,7 @@
         double wait = pause * (0.5 + 0.5 * shared.random().nextDouble());
         pause = Math.min(MOST_PAUSE, 2 * pause);
         pausing = true;
-        shared.loop().timers().set(now() + wait, at -> {
+        shared.loop().timers().schedule(now() + wait, at -> {
             pausing = false;
             if (connections.isEmpty()) {
                 connect();
@@ -395,7 +395,7 @@
     private void place(Attempt attempt, ServerConnection on) {
         attempt.on = on;
         on.out(1);
-        shared.loop().afterReads(() -> {
+        shared.loop().runAfterReads(() -> {
             if (attempts.get(attempt.key()) == attempt && attempt.on == on && !attempt.sent) {
                 send(attempt);
             }
@@ -427,15 +427,15 @@
         }
         if (!attempt.sent) {
             waiting.remove(attempt);
-            shared.loop().timers().set(now(), at -> router.released(at, call, number));
+            shared.loop().timers().schedule(now(), at -> router.releaseConfirmed(at, call, number));
             return;
         }
         attempt.on.givenUp(attempt.sentAt);
         attempt.of.brokeAt = this;
         givenUp.put(attempt.key(), attempt.of.target);
         attempt.on.send(SipMessage.request(SipMessage.CANCEL, attempt.of.target, id, number + 1), sent -> {
-            router.released(now(), call, number);
-            shared.loop().kick();
+            router.releaseConfirmed(now(), call, number);
+            shared.loop().scheduleBatchEnd();
         });
     }
 
@@ -444,7 +444,7 @@
         if (attempt.on != null) {
             attempt.on.out(-1);
         }
-        router.ended(now(), attempt.call, attempt.number, result, reason, OptionalDouble.empty(), report);
+        router.attemptEnded(now(), attempt.call, attempt.number, result, reason, OptionalDouble.empty(), report);
         closeIfUnused();
     }
 
@@ -479,7 +479,7 @@
     }
 
     private void cut(java.util.function.Predicate<NodeCall> which) {
-        router.clock(now());
+        router.advanceClock(now());
         for (NodeCall call : List.copyOf(standing)) {
             if (which.test(call)) {
                 shared.book().ended(call, Result.RESET, Report.NONE);
@@ -494,18 +494,18 @@
         if (!failedTest(message)) {
             heardAt = now;
         }
-        router.catchUp(now);
-        router.clock(now);
+        router.fireOverdueTimers(now);
+        router.advanceClock(now);
         Report report = report(message);
         if (!message.isRequest()) {
             answer(on, message, report, now);
         } else if (message.method().equals(SipMessage.NOTIFY)) {
-            router.probed(now, server.id(), false, true, 0, report);
+            router.probeCompleted(now, server.id(), false, true, 0, report);
         } else if (message.method().equals(SipMessage.BYE)) {
             on.send(SipMessage.answer(SipMessage.OK, "OK", message.callId(), message.cseq()), null);
             released(on, message, report);
         }
-        shared.loop().kick();
+        shared.loop().scheduleBatchEnd();
     }
 
     /**
@@ -520,7 +520,7 @@
 
     private Report report(SipMessage message) {
         String text = message.headers().get("X-Occupancy");
-        return text == null ? Report.NONE : shared.reports().read(text, IllegalArgumentException::new);
+        return text == null ? Report.NONE : shared.reports().parse(text, IllegalArgumentException::new);
     }
 
     private void answer(ServerConnection on, SipMessage message, Report report, double now) {
@@ -530,7 +530,8 @@
         if (message.cseqMethod().equals(SipMessage.OPTIONS)) {
             Test test = tests.remove(String.valueOf(message.callId()));
             if (test != null && test.asked) {
-                router.probed(now, server.id(), true, message.status() == SipMessage.OK, now - test.sentAt, report);
+                router.probeCompleted(
+                        now, server.id(), true, message.status() == SipMessage.OK, now - test.sentAt, report);
             }
             return;
         }
@@ -555,7 +556,7 @@
         call.answerType = message.headers().get("Content-Type");
         call.answering = this;
         call.standsOn = on;
-        router.stands(now, attempt.call, attempt.number, report);
+        router.callEstablished(now, attempt.call, attempt.number, report);
         call.answering = null;
         if (call.standsAt == null) {
             // The core took it for too late: nobody waits for this call any more.
@@ -654,9 +655,9 @@
             if (asked) {
                 shared.loop()
                         .timers()
-                        .set(
+                        .schedule(
                                 now + shared.connectTimeout(),
-                                at -> router.probed(
+                                at -> router.probeCompleted(
                                         at, server.id(), true, !connections.isEmpty(), at - now, Report.NONE));
             }
             return;
@@ -669,9 +670,9 @@
         String id = String.format("%016x", (long) server.id().hashCode() << 32 | testNumber++ & 0xffffffffL);
         tests.put(id, new Test(now, asked, on));
         on.send(SipMessage.request(SipMessage.OPTIONS, PING, id, 1), null);
-        shared.loop().timers().set(now + shared.connectTimeout(), at -> {
+        shared.loop().timers().schedule(now + shared.connectTimeout(), at -> {
             if (tests.remove(id) != null && asked) {
-                router.probed(at, server.id(), true, false, at - now, Report.NONE);
+                router.probeCompleted(at, server.id(), true, false, at - now, Report.NONE);
             }
         });
     }
--- a/src/main/java/damsonseam/node/ServerLinks.java
+++ b/src/main/java/damsonseam/node/ServerLinks.java
@@ -5,11 +5,11 @@
 import damsonseam.Front.Result;
 import damsonseam.Front.State;
 import damsonseam.core.CallRecord;
-import damsonseam.core.Pool;
-import damsonseam.core.Ports;
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
-import damsonseam.settings.ReportFields;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.ServerList;
+import damsonseam.loop.CoreLoop;
+import damsonseam.settings.LoadReportParser;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -18,8 +18,9 @@
 import java.util.function.BooleanSupplier;
 
 /** The ways to the signalling servers, one for each that the list has named and that is still of use. */
-final class ServerLinks implements Ports.Trunks {
-    private static final Ports.NotSent UNREACHABLE = new Ports.NotSent(Result.UNREACHABLE, Reason.NONE);
+final class ServerLinks implements RouterPorts.ServerSignalling {
+    private static final RouterPorts.SendFailure UNREACHABLE =
+            new RouterPorts.SendFailure(Result.UNREACHABLE, Reason.NONE);
     private static final double SWEEP_MS = 250;
 
     /**
@@ -31,9 +32,9 @@
      * @param mayProbe whether the settings allow tests
      */
     record Shared(
-            Loop loop,
+            CoreLoop loop,
             CallBook book,
-            ReportFields reports,
+            LoadReportParser reports,
             double connectTimeout,
             BooleanSupplier room,
             SplittableRandom random,
@@ -52,9 +53,9 @@
      * @param mayProbe whether the settings allow tests
      */
     ServerLinks(
-            Loop loop,
+            CoreLoop loop,
             CallBook book,
-            ReportFields reports,
+            LoadReportParser reports,
             double connectTimeout,
             int mostConnections,
             long seed,
@@ -72,7 +73,7 @@
 
     void start(Router router) {
         this.router = router;
-        shared.loop().timers().set(shared.loop().now() + SWEEP_MS, this::sweep);
+        shared.loop().timers().schedule(shared.loop().now() + SWEEP_MS, this::sweep);
     }
 
     ServerLink get(String id) {
@@ -101,9 +102,9 @@
     }
 
     /** Follows the list: new servers get a link, those gone from it lose theirs once their calls are over. */
-    void follow(Pool pool) {
+    void follow(ServerList pool) {
         Set<String> listed = new HashSet<>();
-        for (Pool.Server server : pool.servers()) {
+        for (ServerList.Server server : pool.servers()) {
             listed.add(server.id());
             ServerLink link = links.get(server.id());
             if (link == null) {
@@ -127,18 +128,19 @@
     private void sweep(double now) {
         links.values().forEach(link -> link.sweep(now));
         links.values().removeIf(ServerLink::over);
-        shared.loop().timers().set(now + SWEEP_MS, this::sweep);
+        shared.loop().timers().schedule(now + SWEEP_MS, this::sweep);
     }
 
     @Override
-    public Ports.NotSent setUp(double now, String server, long call, int attempt, double until, CallRecord record) {
+    public RouterPorts.SendFailure sendSetUp(
+            double now, String server, long call, int attempt, double until, CallRecord record) {
         ServerLink link = links.get(server);
         NodeCall of = shared.book().get(call);
         return link != null && of != null && link.setUp(of, call, attempt, until) ? null : UNREACHABLE;
     }
 
     @Override
-    public double release(double now, String server, long call, int attempt, boolean timedOut) {
+    public double sendRelease(double now, String server, long call, int attempt, boolean timedOut) {
         ServerLink link = links.get(server);
         NodeCall of = shared.book().get(call);
         if (link != null && of != null) {
@@ -148,18 +150,18 @@
     }
 
     @Override
-    public void probe(double now, String server) {
+    public void sendProbe(double now, String server) {
         ServerLink link = links.get(server);
         if (link != null) {
             link.probe();
         } else {
-            shared.loop().timers().set(now, at -> router.probed(at, server, true, false, 0, Report.NONE));
+            shared.loop().timers().schedule(now, at -> router.probeCompleted(at, server, true, false, 0, Report.NONE));
         }
     }
 
     /** Whether each running server of the list has been reached, or has been tried in vain. */
     boolean ready() {
-        return router.pool().servers().stream()
+        return router.serverList().servers().stream()
                 .filter(s -> s.state() == State.RUNNING)
                 .allMatch(s -> links.containsKey(s.id()) && links.get(s.id()).tried());
     }
--- a/src/main/java/damsonseam/node/Shutdown.java
+++ b/src/main/java/damsonseam/node/Shutdown.java
@@ -2,7 +2,7 @@
 
 import damsonseam.Front.CallClass;
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.slf4j.Logger;
@@ -27,7 +27,7 @@
     private static final double CLOSE_MS = 200;
     private static final double LOOK_MS = 10;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final Router router;
     private final CallerListener callers;
     private final ServerLinks servers;
@@ -38,7 +38,7 @@
     private double closingAt;
 
     Shutdown(
-            Loop loop,
+            CoreLoop loop,
             Router router,
             CallerListener callers,
             ServerLinks servers,
@@ -71,7 +71,7 @@
             lookAgain(now);
         } else {
             // What has come to the sockets in the meantime is taken first.
-            loop.afterReads(() -> {
+            loop.runAfterReads(() -> {
                 if (age >= giveUpAfter || settled(loop.now())) {
                     close(loop.now());
                 }
@@ -81,12 +81,12 @@
     }
 
     private void lookAgain(double now) {
-        loop.timers().set(now + LOOK_MS, this::look);
+        loop.timers().schedule(now + LOOK_MS, this::look);
     }
 
     /** Whether nothing is owed, and nothing that a caller has sent waits to be read. */
     private boolean settled(double now) {
-        return router.owed() == 0
+        return router.unansweredCalls() == 0
                 && releases.underWay() == 0
                 && callers.accepting()
                 && now - callers.heardAt() > 2 * LOOK_MS;
@@ -95,11 +95,11 @@
     private void close(double now) {
         closingAt = now;
         LOG.atInfo()
-                .addKeyValue("owed", router.owed())
+                .addKeyValue("owed", router.unansweredCalls())
                 .addKeyValue("releases", releases.size())
                 .addKeyValue("callers", callers.connections())
                 .log("closing");
-        router.giveUpAll(now);
+        router.closeUnansweredCalls(now);
         // Before the callers: a release that a server says from now on is for whoever it connects with next.
         servers.close();
         callers.finish();
--- a/src/main/java/damsonseam/overload/Levels.java
+++ b/src/main/java/damsonseam/overload/CongestionLevels.java
@@ -12,16 +12,16 @@
  * proportional answer settles. The abatement level keeps a pressure that rests near an onset from switching it on and
  * off with every call.
  */
-public final class Levels {
+public final class CongestionLevels {
     /** How far under its onset a rank's abatement level lies, in ranks. */
     static final double ABATEMENT = 0.5;
 
-    private final boolean[] stopped;
-    private long onsets;
+    private final boolean[] isRefusing;
+    private long onsetCount;
 
     /** Levels of so many ranks, none stopped. */
-    public Levels(int ranks) {
-        stopped = new boolean[ranks];
+    public CongestionLevels(int ranks) {
+        isRefusing = new boolean[ranks];
     }
 
     /**
@@ -30,15 +30,15 @@
      * @param rank 0 for the least worth
      * @param pressure in ranks: 0 at the first onset, the number of ranks at the ceiling
      */
-    public double share(int rank, double pressure) {
+    public double refusalShare(int rank, double pressure) {
         double abatement = rank - ABATEMENT;
-        if (stopped[rank]) {
-            stopped[rank] = pressure >= abatement;
+        if (isRefusing[rank]) {
+            isRefusing[rank] = pressure >= abatement;
         } else if (pressure >= rank) {
-            stopped[rank] = true;
-            onsets++;
+            isRefusing[rank] = true;
+            onsetCount++;
         }
-        return stopped[rank] ? Math.min(1, (pressure - abatement) / (1 + ABATEMENT)) : 0;
+        return isRefusing[rank] ? Math.min(1, (pressure - abatement) / (1 + ABATEMENT)) : 0;
     }
 
     /**
@@ -46,13 +46,13 @@
      * rank and is all at that rank's onset, so that such calls fill what room there is and are gone before anybody
      * else is asked to go.
      */
-    public static double surplusShare(double pressure) {
+    public static double surplusRefusalShare(double pressure) {
         return Math.max(0, Math.min(1, (pressure + ABATEMENT) / ABATEMENT));
     }
 
     /** Whether this rank is stopped, wholly or in part. */
-    public boolean stopped(int rank) {
-        return stopped[rank];
+    public boolean isRefusing(int rank) {
+        return isRefusing[rank];
     }
 
     /**
@@ -71,8 +71,8 @@
     }
 
     /** Whether any rank is stopped, wholly or in part. */
-    public boolean any() {
-        for (boolean s : stopped) {
+    public boolean isAnyRefusing() {
+        for (boolean s : isRefusing) {
             if (s) {
                 return true;
             }
@@ -81,12 +81,12 @@
     }
 
     /** How often a rank was stopped. */
-    public long onsets() {
-        return onsets;
+    public long onsetCount() {
+        return onsetCount;
     }
 
     @Override
     public String toString() {
-        return Arrays.toString(stopped);
+        return Arrays.toString(isRefusing);
     }
 }
--- a/src/main/java/damsonseam/overload/Remembered.java
+++ b/src/main/java/damsonseam/overload/DecisionCache.java
@@ -7,11 +7,11 @@
  * one whose call is open must never be refused. Two generations, so that forgetting costs nothing: each is kept for
  * at least the given time unless the limit is reached first; then the older one goes early.
  */
-public final class Remembered {
+public final class DecisionCache {
     /** Nothing is known of the question. */
     public static final long UNKNOWN = -2;
     /** The question was handed on to the front's core. */
-    public static final long TAKEN = -1;
+    public static final long ADMITTED = -1;
 
     private static final float FILL = 0.6f;
     private static final int FIRST = 1 << 10;
@@ -21,7 +21,7 @@
     private Long2LongHashMap young = map();
     private Long2LongHashMap old = map();
     private double turnAt;
-    private long forgottenEarly;
+    private long earlyEvictions;
 
     /**
      * An empty memory.
@@ -29,7 +29,7 @@
      * @param keep milliseconds for which what was decided must be known
      * @param limit questions in each of the two generations at most
      */
-    public Remembered(double keep, int limit) {
+    public DecisionCache(double keep, int limit) {
         this.keep = keep;
         this.limit = limit;
         turnAt = Double.NaN;
@@ -39,7 +39,7 @@
         return new Long2LongHashMap(FIRST, FILL, UNKNOWN, false);
     }
 
-    /** What was decided: {@link #UNKNOWN}, {@link #TAKEN}, or the advice given with a refusal in milliseconds. */
+    /** What was decided: {@link #UNKNOWN}, {@link #ADMITTED}, or the advice given with a refusal in milliseconds. */
     public long find(long fingerprint, double now) {
         turn(now);
         long known = young.get(fingerprint);
@@ -49,7 +49,7 @@
     /** Keeps what was decided. */
     public void put(long fingerprint, long decided, double now) {
         if (young.size() >= limit) {
-            forgottenEarly += old.size();
+            earlyEvictions += old.size();
             swap(now);
         }
         young.put(fingerprint, decided);
@@ -78,7 +78,7 @@
     }
 
     /** Questions that were forgotten before their time for want of room. */
-    public long forgottenEarly() {
-        return forgottenEarly;
+    public long earlyEvictions() {
+        return earlyEvictions;
     }
 }
--- a/src/main/java/damsonseam/overload/Diagnosis.java
+++ b/src/main/java/damsonseam/overload/DelayDiagnosis.java
@@ -4,7 +4,7 @@
  * Tells why a front was late: its own work, the collector, the machine, or nobody but those it waits for. Guards
  * against the one symptom, answers that come late, being taken for the front's own load whatever is behind it.
  */
-public final class Diagnosis {
+public final class DelayDiagnosis {
 
     /** Why answers are late. */
     public enum Cause {
@@ -23,25 +23,25 @@
     /**
      * What was seen over one window.
      *
-     * @param delay longest time by which the loop was late, in milliseconds
-     * @param loopCpu processor time that the loop's thread got, in milliseconds
-     * @param collector time for which the collector stopped the program, in milliseconds
-     * @param upstreamShare share of look-ups and set-ups answered late or not at all, 0 to 1
+     * @param maxDelayMs longest time by which the loop was late, in milliseconds
+     * @param loopCpuMs processor time that the loop's thread got, in milliseconds
+     * @param collectorPauseMs time for which the collector stopped the program, in milliseconds
+     * @param lateUpstreamShare share of look-ups and set-ups answered late or not at all, 0 to 1
      */
-    public record Window(double delay, double loopCpu, double collector, double upstreamShare) {}
+    public record Window(double maxDelayMs, double loopCpuMs, double collectorPauseMs, double lateUpstreamShare) {}
 
     private static final double HALF = 0.5;
 
-    private Diagnosis() {}
+    private DelayDiagnosis() {}
 
     /** The cause, for a front whose loop counts as late from {@code onset} milliseconds on. */
-    public static Cause of(Window seen, double onset) {
-        if (seen.delay() < onset) {
-            return seen.upstreamShare() > HALF ? Cause.UPSTREAM : Cause.CALM;
+    public static Cause diagnose(Window seen, double onset) {
+        if (seen.maxDelayMs() < onset) {
+            return seen.lateUpstreamShare() > HALF ? Cause.UPSTREAM : Cause.CALM;
         }
-        if (seen.collector() >= HALF * seen.delay()) {
+        if (seen.collectorPauseMs() >= HALF * seen.maxDelayMs()) {
             return Cause.COLLECTOR;
         }
-        return seen.loopCpu() >= HALF * seen.delay() ? Cause.OWN_WORK : Cause.MACHINE;
+        return seen.loopCpuMs() >= HALF * seen.maxDelayMs() ? Cause.OWN_WORK : Cause.MACHINE;
     }
 }
--- a/src/main/java/damsonseam/overload/HeavySenders.java
+++ b/src/main/java/damsonseam/overload/HeavySenderDetector.java
@@ -12,7 +12,7 @@
  * <p>A fair share is all that was asked over the number of senders that asked. One sender alone is the only one there
  * is and asks its fair share, whatever that is: a front behind one resolver is not split by this.
  */
-public final class HeavySenders {
+public final class HeavySenderDetector {
     private static final double WINDOW = 500;
     private static final int HEAVIEST = 256;
     private static final int LG_K = 10;
@@ -41,7 +41,7 @@
     }
 
     /** Senders above {@code multiple} fair shares are heavy. */
-    public HeavySenders(double multiple) {
+    public HeavySenderDetector(double multiple) {
         this.multiple = multiple;
         now = new Window();
         last = new Window();
@@ -51,7 +51,7 @@
      * The sender that an address counts as: an IPv4 address, or the first 64 bits of an IPv6 one, as whoever has one
      * address of such a network has them all.
      */
-    public static long sender(byte[] address) {
+    public static long senderKey(byte[] address) {
         return hash(address, Math.min(address.length, NETWORK_OCTETS));
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** A sender, by a hash of its address, asks. */
-    public void asked(double at, long sender) {
+    public void recordRequest(double at, long sender) {
         if (Double.isNaN(turnAt) || at >= turnAt) {
             last = !Double.isNaN(turnAt) && at < turnAt + WINDOW ? now : new Window();
             now = new Window();
@@ -86,7 +86,7 @@
      *
      * @param tight whether one fair share is all there is, and not several
      */
-    public double surplus(long sender, boolean tight) {
+    public double surplusShare(long sender, boolean tight) {
         if (last.asked < FEWEST) {
             return 0;
         }
--- a/src/main/java/damsonseam/overload/HeldRoom.java
+++ b/src/main/java/damsonseam/overload/HeldCallLimit.java
@@ -10,7 +10,7 @@
  * its time walking over those that wait: answers are then read late, servers seem slower than they are, more calls
  * wait, and nothing leads back out of it.
  */
-public final class HeldRoom {
+public final class HeldCallLimit {
     private static final double TARGET = 8;
     private static final double LEAST = 1_000;
     private static final double GROWS_A_SECOND = 0.5;
@@ -21,34 +21,34 @@
     private static final double SECOND = 1_000;
 
     private final double most;
-    private double room;
+    private double limit;
     private double lookedAt = Double.NaN;
 
     /** Room for at most so many; it starts with all of it. */
-    public HeldRoom(int most) {
+    public HeldCallLimit(int most) {
         this.most = Math.max(LEAST, most);
-        room = this.most;
+        limit = this.most;
     }
 
     /** A moment took so long, in milliseconds, with so many calls unanswered. */
-    public void moment(double now, double ms, int held) {
+    public void recordBatch(double now, double ms, int held) {
         double passed = Double.isNaN(lookedAt) ? 0 : Math.max(0, now - lookedAt);
         lookedAt = now;
         if (ms > TARGET && held > LEAST) {
-            double right = Math.min(room, held) * Math.max(LEAST_CUT, TARGET / ms);
-            room = Math.max(LEAST, Math.min(room, right));
-        } else if (held > NEAR * room) {
-            room = Math.min(most, room * (1 + GROWS_A_SECOND * Math.min(1, passed / SECOND)));
+            double right = Math.min(limit, held) * Math.max(LEAST_CUT, TARGET / ms);
+            limit = Math.max(LEAST, Math.min(limit, right));
+        } else if (held > NEAR * limit) {
+            limit = Math.min(most, limit * (1 + GROWS_A_SECOND * Math.min(1, passed / SECOND)));
         }
     }
 
     /** Unanswered calls from which on the cheapest are refused. */
-    public double room() {
-        return room;
+    public double limit() {
+        return limit;
     }
 
     /** Pressure in ranks: 0 with the room full, the number of ranks at twice that. */
     public double pressure(int held, int ranks) {
-        return Levels.pressure(held, room, 2 * room, ranks);
+        return CongestionLevels.pressure(held, limit, 2 * limit, ranks);
     }
 }
--- a/src/main/java/damsonseam/overload/LoopGauge.java
+++ b/src/main/java/damsonseam/overload/LoopDelayGauge.java
@@ -7,7 +7,7 @@
  * look. A beat that is late by more than its own period stands for those that it swallowed as well, so that one stop
  * of two seconds is not one sample among thousands (coordinated omission).
  */
-public final class LoopGauge {
+public final class LoopDelayGauge {
     private static final long MOST_US = 60_000_000L;
     private static final int DIGITS = 2;
     private static final double US = 1_000;
@@ -18,12 +18,12 @@
     private double longest;
 
     /** A gauge of a loop that beats each {@code period} milliseconds. */
-    public LoopGauge(double period) {
+    public LoopDelayGauge(double period) {
         this.period = period;
     }
 
     /** A beat came; the next one is due a period later. Returns by how much it was late, in milliseconds. */
-    public double beat(double now) {
+    public double recordTick(double now) {
         double late = Double.isNaN(dueAt) ? 0 : Math.max(0, now - dueAt);
         if (!Double.isNaN(dueAt)) {
             all.recordValueWithExpectedInterval(Math.min(MOST_US, (long) (late * US)), (long) (period * US));
@@ -34,19 +34,19 @@
     }
 
     /** The longest delay since the last look. */
-    public double takeLongest() {
+    public double takeMaxDelayMs() {
         double was = longest;
         longest = 0;
         return was;
     }
 
     /** A percentile of all delays, in milliseconds. */
-    public double percentile(double p) {
+    public double percentileMs(double p) {
         return all.getValueAtPercentile(p) / US;
     }
 
     /** The longest delay of all, in milliseconds. */
-    public double most() {
+    public double maxDelayMs() {
         return all.getMaxValue() / US;
     }
 
--- a/src/main/java/damsonseam/overload/MemoryWatch.java
+++ b/src/main/java/damsonseam/overload/MemoryMonitor.java
@@ -5,14 +5,14 @@
  * old, so one sample says little: the least of the last ten seconds counts. Caches go first, down to a tenth of their
  * room; calls only from the onset on, by worth. A climb is foreseen, so that caches go before the onset is reached.
  */
-public final class MemoryWatch {
+public final class MemoryMonitor {
     private static final double WINDOW = 5_000;
     private static final double SMOOTH = 20_000;
     private static final double LEAST_CACHE = 0.1;
     private static final double CACHE_GROWS_OVER = 60_000;
 
     private final OverloadSettings settings;
-    private final Forecast forecast = new Forecast(SMOOTH);
+    private final TrendForecast forecast = new TrendForecast(SMOOTH);
     private double least = Double.NaN;
     private double leastBefore = Double.NaN;
     private double windowEnd = Double.NaN;
@@ -20,12 +20,12 @@
     private double cacheAt = Double.NaN;
 
     /** A watch that has seen nothing. */
-    public MemoryWatch(OverloadSettings settings) {
+    public MemoryMonitor(OverloadSettings settings) {
         this.settings = settings;
     }
 
     /** A collection has left this share of the heap in use. */
-    public void collected(double now, double share) {
+    public void recordCollection(double now, double share) {
         if (Double.isNaN(windowEnd)) {
             windowEnd = now + WINDOW;
         }
@@ -41,7 +41,7 @@
     }
 
     /** The share of the heap in use, as far as collections tell: 0 before the first. */
-    public double used() {
+    public double usedShare() {
         if (Double.isNaN(least)) {
             return Double.isNaN(leastBefore) ? 0 : leastBefore;
         }
@@ -50,12 +50,12 @@
 
     /** Pressure on calls, in ranks. */
     public double pressure(int ranks) {
-        return Levels.pressure(used(), settings.memoryOnset(), settings.memoryCeiling(), ranks);
+        return CongestionLevels.pressure(usedShare(), settings.memoryOnset(), settings.memoryCeiling(), ranks);
     }
 
     /** The share of their room that caches may fill now; it falls at once and grows back over a minute. */
-    public double cacheRoom(double now) {
-        double foreseen = Math.max(used(), forecast.ahead(settings.forecast()));
+    public double cacheShare(double now) {
+        double foreseen = Math.max(usedShare(), forecast.valueAfter(settings.forecast()));
         double room = foreseen < settings.memoryOnset()
                 ? 1
                 : Math.max(
@@ -68,7 +68,7 @@
     }
 
     /** Milliseconds until the ceiling is reached at the present climb; infinite where there is none. */
-    public double untilCeiling() {
-        return forecast.until(settings.memoryCeiling());
+    public double timeUntilCeiling() {
+        return forecast.timeUntil(settings.memoryCeiling());
     }
 }
--- a/src/main/java/damsonseam/overload/OverloadSettings.java
+++ b/src/main/java/damsonseam/overload/OverloadSettings.java
@@ -12,7 +12,7 @@
  *     rest is kept for the dearer ones
  * @param forecast how far ahead memory in use is foreseen, in milliseconds
  * @param fairMultiple a sender that asks more than so many fair shares loses what is above them first
- * @param longestAdvice longest time for which callers are asked to stay away, in milliseconds
+ * @param maxRetryAfterMs longest time for which callers are asked to stay away, in milliseconds
  */
 public record OverloadSettings(
         double delayOnset,
@@ -22,7 +22,7 @@
         double tableOnset,
         double forecast,
         double fairMultiple,
-        double longestAdvice) {
+        double maxRetryAfterMs) {
 
     /** Refuses levels that can't work. */
     public OverloadSettings {
@@ -34,7 +34,7 @@
         require(
                 fairMultiple >= 1,
                 "fairMultiple: expected 1 at least, found " + fairMultiple + "; under one fair share nobody could ask");
-        require(longestAdvice >= 0, "longestAdvice: expected 0 ms or more");
+        require(maxRetryAfterMs >= 0, "longestAdvice: expected 0 ms or more");
     }
 
     private static void order(double onset, double ceiling, String what) {
--- a/src/main/java/damsonseam/overload/TablePressure.java
+++ b/src/main/java/damsonseam/overload/TablePressure.java
@@ -24,6 +24,6 @@
         if (settings.tableOnset() >= 1) {
             return fullest >= 1 ? ranks : -1;
         }
-        return Levels.pressure(fullest, settings.tableOnset(), 1, ranks);
+        return CongestionLevels.pressure(fullest, settings.tableOnset(), 1, ranks);
     }
 }
--- a/src/main/java/damsonseam/overload/Forecast.java
+++ b/src/main/java/damsonseam/overload/TrendForecast.java
@@ -4,7 +4,7 @@
  * Where a value that climbs slowly will be: level and trend by Holt's double exponential smoothing, for samples that
  * come at uneven times. Only a climb counts: a fall is not foreseen, it is waited for.
  */
-public final class Forecast {
+public final class TrendForecast {
     private final double span;
     private double at = Double.NaN;
     private double level;
@@ -12,7 +12,7 @@
     private int samples;
 
     /** A forecast that forgets over {@code span} milliseconds. */
-    public Forecast(double span) {
+    public TrendForecast(double span) {
         if (!(span > 0)) {
             throw new IllegalArgumentException("span: expected over 0 ms, found " + span);
         }
@@ -40,13 +40,13 @@
     }
 
     /** The value foreseen {@code ahead} milliseconds after the last sample; never below the present level. */
-    public double ahead(double ahead) {
+    public double valueAfter(double ahead) {
         // Two samples make a line through anything: a trend needs a few more before it is believed.
         return samples < 4 ? level : level + Math.max(0, perMs) * ahead;
     }
 
     /** Milliseconds until the value reaches {@code limit}; infinite where it does not climb. */
-    public double until(double limit) {
+    public double timeUntil(double limit) {
         return level >= limit ? 0 : samples < 4 || perMs <= 0 ? Double.POSITIVE_INFINITY : (limit - level) / perMs;
     }
 }
--- a/src/main/java/damsonseam/settings/ReportFields.java
+++ b/src/main/java/damsonseam/settings/LoadReportParser.java
@@ -8,18 +8,18 @@
 import java.util.function.Function;
 
 /** Load reports as name:value pairs, of which only the names count that the settings name. */
-public final class ReportFields {
+public final class LoadReportParser {
     private final List<String> fields;
-    private final char between;
+    private final char separator;
 
     /**
      * Reports of these values.
      *
      * @param between what stands between two pairs
      */
-    public ReportFields(List<String> fields, char between) {
+    public LoadReportParser(List<String> fields, char between) {
         this.fields = List.copyOf(fields);
-        this.between = between;
+        this.separator = between;
     }
 
     /**
@@ -27,13 +27,13 @@
      *
      * @param wrong makes the error of the program that reads it out of what was expected
      */
-    public Report read(String text, Function<String, RuntimeException> wrong) {
+    public Report parse(String text, Function<String, RuntimeException> wrong) {
         if (text.isEmpty() || text.equals("-")) {
             return Report.NONE;
         }
         Map<String, OptionalDouble> values = new HashMap<>();
         for (int at = 0; at <= text.length(); ) {
-            int next = text.indexOf(between, at);
+            int next = text.indexOf(separator, at);
             int end = next < 0 ? text.length() : next;
             String pair = text.substring(at, end).strip();
             at = end + 1;
--- a/src/main/java/damsonseam/settings/StartSettings.java
+++ b/src/main/java/damsonseam/settings/PlatformSettings.java
@@ -16,7 +16,7 @@
  * ({@code Caps.MaxAttempts}, {@code RequestClasses.0.Worth}), in the terms of the interface. Unknown ones are
  * skipped. The simulator's first message and a front node's configuration hold the same.
  */
-public final class StartSettings {
+public final class PlatformSettings {
     private final Map<String, String> values;
     private final Function<String, RuntimeException> wrong;
 
@@ -25,13 +25,13 @@
      *
      * @param wrong makes the error of the program that reads them out of what was expected
      */
-    public StartSettings(Map<String, String> values, Function<String, RuntimeException> wrong) {
+    public PlatformSettings(Map<String, String> values, Function<String, RuntimeException> wrong) {
         this.values = new HashMap<>(values);
         this.wrong = wrong;
     }
 
     /** Settings as space-separated {@code path=value} pairs. */
-    public static StartSettings pairs(String pairs, Function<String, RuntimeException> wrong) {
+    public static PlatformSettings parse(String pairs, Function<String, RuntimeException> wrong) {
         Map<String, String> values = new HashMap<>();
         for (String pair : pairs.split(" ")) {
             int eq = pair.indexOf('=');
@@ -41,11 +41,11 @@
                 throw wrong.apply("settings as path=value");
             }
         }
-        return new StartSettings(values, wrong);
+        return new PlatformSettings(values, wrong);
     }
 
     /** What the decision module is given. */
-    public Settings settings(long seed) {
+    public Settings moduleSettings(long seed) {
         return new Settings(
                 seed,
                 whole("Balancers"),
@@ -83,7 +83,7 @@
     }
 
     /** Calls that an instance may hold open, where the platform says so. */
-    public OptionalInt mostHeld() {
+    public OptionalInt maxHeldCalls() {
         return whole("Caps.MostHeld");
     }
 
--- a/src/main/java/damsonseam/ss7/AspSession.java
+++ b/src/main/java/damsonseam/ss7/AspSession.java
@@ -1,6 +1,6 @@
 package damsonseam.ss7;
 
-import damsonseam.core.Timers;
+import damsonseam.core.TimerWheel;
 import damsonseam.ss7.M3ua.Kind;
 import damsonseam.ss7.M3ua.Parameter;
 import java.nio.ByteBuffer;
@@ -51,17 +51,17 @@
     }
 
     private final Output out;
-    private final Timers timers;
+    private final TimerWheel timers;
     private final int aspIdentifier;
     private final int farPointCode;
     private final double probeTimeout;
     private final double heartbeat;
     private final Map<Long, Double> probes = new LinkedHashMap<>();
-    private final Map<Long, Timers.Timer> probeTimers = new HashMap<>();
+    private final Map<Long, TimerWheel.Timer> probeTimers = new HashMap<>();
     private State state = State.DOWN;
     private int repeats;
-    private Timers.Timer ackTimer;
-    private Timers.Timer beatTimer;
+    private TimerWheel.Timer ackTimer;
+    private TimerWheel.Timer beatTimer;
     private long nextBeat = 1;
     private boolean heardSinceBeat;
     private int silentBeats;
@@ -75,7 +75,7 @@
      * @param heartbeat time between heartbeats on a quiet connection, 0 for none
      */
     public AspSession(
-            Output out, Timers timers, int aspIdentifier, int farPointCode, double probeTimeout, double heartbeat) {
+            Output out, TimerWheel timers, int aspIdentifier, int farPointCode, double probeTimeout, double heartbeat) {
         this.out = out;
         this.timers = timers;
         this.aspIdentifier = aspIdentifier;
@@ -122,7 +122,7 @@
         } else {
             return;
         }
-        ackTimer = timers.set(now + T_ACK, at -> {
+        ackTimer = timers.schedule(now + T_ACK, at -> {
             if (++repeats > REPEATS) {
                 out.close("no acknowledgement in " + state);
             } else {
@@ -214,12 +214,12 @@
     /** Sends a probe; its answer comes through {@link Output#probed}. */
     public void probe(double now) {
         if (state != State.ACTIVE || probes.size() >= MOST_PROBES) {
-            timers.set(now, at -> out.probed(false, 0));
+            timers.schedule(now, at -> out.probed(false, 0));
             return;
         }
         long id = nextBeat++;
         probes.put(id, now);
-        probeTimers.put(id, timers.set(now + probeTimeout, at -> {
+        probeTimers.put(id, timers.schedule(now + probeTimeout, at -> {
             probeTimers.remove(id);
             if (probes.remove(id) != null) {
                 out.probed(false, at - now);
@@ -253,7 +253,7 @@
         timers.cancel(beatTimer);
         beatTimer = heartbeat <= 0
                 ? null
-                : timers.set(now + heartbeat, at -> {
+                : timers.schedule(now + heartbeat, at -> {
                     // Two silent spans in a row: the far end is gone without having said so.
                     silentBeats = heardSinceBeat ? 0 : silentBeats + 1;
                     if (silentBeats >= 2) {
--- a/src/main/java/damsonseam/ss7/TrunkGroup.java
+++ b/src/main/java/damsonseam/ss7/TrunkGroup.java
@@ -3,8 +3,8 @@
 import damsonseam.Front.Reason;
 import damsonseam.Front.Report;
 import damsonseam.Front.Result;
-import damsonseam.core.Circuits;
-import damsonseam.core.Timers;
+import damsonseam.core.CircuitAllocator;
+import damsonseam.core.TimerWheel;
 import java.util.BitSet;
 import java.util.OptionalDouble;
 import org.agrona.collections.Long2ObjectHashMap;
@@ -68,7 +68,7 @@
         final long call;
         final int attempt;
         State state = State.SETTING_UP;
-        Timers.Timer timer;
+        TimerWheel.Timer timer;
         double since;
         int cause;
 
@@ -79,8 +79,8 @@
         }
     }
 
-    private final Circuits circuits;
-    private final Timers timers;
+    private final CircuitAllocator circuits;
+    private final TimerWheel timers;
     private final Times times;
     private final Output out;
     private final int pointCode;
@@ -96,7 +96,7 @@
     private long dualSeizures;
 
     /** A group with all circuits idle; {@code pointCode} is this end's. */
-    public TrunkGroup(Circuits circuits, Timers timers, Times times, int pointCode, Output out) {
+    public TrunkGroup(CircuitAllocator circuits, TimerWheel timers, Times times, int pointCode, Output out) {
         this.circuits = circuits;
         this.timers = timers;
         this.times = times;
@@ -145,7 +145,7 @@
     private void await(Busy b, double now) {
         timers.cancel(b.timer);
         double after = b.state == State.RELEASING ? times.t1() : times.t17();
-        b.timer = timers.set(now + after, at -> {
+        b.timer = timers.schedule(now + after, at -> {
             b.timer = null;
             if (!connected || busy[b.circuit] != b) {
                 return;
@@ -176,7 +176,7 @@
             if (b != null) {
                 b.state = State.RESETTING;
                 resetsOut++;
-                circuits.reset(c);
+                circuits.startReset(c);
                 out.send(Isup.of(c, Isup.Type.RSC));
                 await(b, now);
             }
@@ -211,7 +211,7 @@
     /** A message came; the unreasonable ones are handled as Q.764 2.9.5 has it. */
     public void received(double now, Isup message) {
         int c = message.circuit();
-        if (!circuits.has(c)) {
+        if (!circuits.contains(c)) {
             confused++;
             return;
         }
@@ -227,11 +227,11 @@
             }
             case GRS -> groupReset(message, now);
             case BLO -> {
-                circuits.block(c, true);
+                circuits.setBlocked(c, true);
                 out.send(Isup.of(c, Isup.Type.BLA));
             }
             case UBL -> {
-                circuits.block(c, false);
+                circuits.setBlocked(c, false);
                 out.send(Isup.of(c, Isup.Type.UBA));
             }
             case IAM -> incoming(b, c, now);
@@ -242,7 +242,7 @@
     /** A message that could not be read: confusion is told where the circuit is known (Q.764 2.9.5.3). */
     public void unreadable(int circuit, int cause) {
         confused++;
-        if (connected && circuits.has(circuit)) {
+        if (connected && circuits.contains(circuit)) {
             out.send(IsupMessages.confusion(circuit, cause));
         }
     }
@@ -256,7 +256,7 @@
     }
 
     private void resetIdle(int c, double now) {
-        circuits.takeIncoming(c);
+        circuits.seizeIncoming(c);
         busy[c] = new Busy(c, -1, -1);
         busy[c].state = State.RELEASING;
         toReset.set(c);
@@ -353,14 +353,14 @@
         if (b.state == State.RESETTING) {
             resetsOut = Math.max(0, resetsOut - 1);
         }
-        circuits.idle(b.circuit);
+        circuits.setIdle(b.circuit);
         if (connected) {
             resetNext(now);
         }
     }
 
     private void farReset(Busy b, int c, double now) {
-        circuits.block(c, false);
+        circuits.setBlocked(c, false);
         if (b == null) {
             return;
         }
@@ -380,7 +380,7 @@
             return;
         }
         int range = Math.min(value[0] & 0xff, RESET_WINDOW - 1);
-        for (int c = message.circuit(); c <= message.circuit() + range && circuits.has(c); c++) {
+        for (int c = message.circuit(); c <= message.circuit() + range && circuits.contains(c); c++) {
             farReset(busy[c], c, now);
         }
         byte[] status = new byte[1 + (range + 8) / 8];
@@ -392,7 +392,7 @@
     private void incoming(Busy b, int c, double now) {
         if (b != null && b.state == State.SETTING_UP) {
             dualSeizures++;
-            if (circuits.controls(c)) {
+            if (circuits.isControlled(c)) {
                 return;
             }
             // The other end controls this circuit: our attempt never ran, theirs is turned away.
@@ -402,7 +402,7 @@
             return;
         }
         if (b == null) {
-            circuits.takeIncoming(c);
+            circuits.seizeIncoming(c);
             Busy refused = new Busy(c, -1, -1);
             busy[c] = refused;
             startRelease(refused, Isup.NO_CIRCUIT, now);
@@ -411,7 +411,7 @@
 
     /** Circuits on which a set-up could go out now. */
     public int free() {
-        return circuits.free();
+        return circuits.idleCount();
     }
 
     /** Circuits that are not idle, whatever for. */
--- a/src/test/java/damsonseam/core/CircuitsTest.java
+++ b/src/test/java/damsonseam/core/CircuitsTest.java
@@ -22,7 +22,7 @@
             @ForAll @IntRange(min = 1, max = 40) int size,
             @ForAll boolean even,
             @ForAll @Size(max = 200) List<@IntRange(min = 0, max = 399) Integer> events) {
-        Circuits circuits = new Circuits(size, even);
+        CircuitAllocator circuits = new CircuitAllocator(size, even);
         Map<Integer, Boolean> taken = new HashMap<>();
         Map<Integer, Boolean> blocked = new HashMap<>();
         Map<Integer, Boolean> resetting = new HashMap<>();
@@ -43,24 +43,24 @@
                     }
                 }
                 case 1 -> {
-                    circuits.idle(code);
+                    circuits.setIdle(code);
                     taken.remove(code);
                     resetting.remove(code);
                 }
                 case 2 -> {
-                    circuits.block(code, event % 2 == 0);
+                    circuits.setBlocked(code, event % 2 == 0);
                     blocked.put(code, event % 2 == 0);
                 }
                 case 3 -> {
-                    circuits.reset(code);
+                    circuits.startReset(code);
                     resetting.put(code, true);
                 }
                 default -> {
-                    circuits.takeIncoming(code);
+                    circuits.seizeIncoming(code);
                     taken.put(code, true);
                 }
             }
-            assertEquals(idle(size, taken, blocked, resetting), circuits.free());
+            assertEquals(idle(size, taken, blocked, resetting), circuits.idleCount());
         }
     }
 
@@ -77,9 +77,9 @@
 
     @Test
     void ownCodesGoFirstAndTheOneJustReleasedRests() {
-        Circuits circuits = new Circuits(6, true);
+        CircuitAllocator circuits = new CircuitAllocator(6, true);
         assertEquals(2, circuits.seize());
-        circuits.idle(2);
+        circuits.setIdle(2);
         assertEquals(4, circuits.seize());
         assertEquals(6, circuits.seize());
         assertEquals(2, circuits.seize());
@@ -88,9 +88,9 @@
 
     @Test
     void codesOutsideTheGroupAreRefused() {
-        Circuits circuits = new Circuits(3, false);
-        assertThrows(IllegalArgumentException.class, () -> circuits.idle(0));
-        assertThrows(IllegalArgumentException.class, () -> circuits.takeIncoming(4));
-        assertThrows(IllegalArgumentException.class, () -> new Circuits(4096, false));
+        CircuitAllocator circuits = new CircuitAllocator(3, false);
+        assertThrows(IllegalArgumentException.class, () -> circuits.setIdle(0));
+        assertThrows(IllegalArgumentException.class, () -> circuits.seizeIncoming(4));
+        assertThrows(IllegalArgumentException.class, () -> new CircuitAllocator(4096, false));
     }
 }
--- a/src/test/java/damsonseam/core/PoolTest.java
+++ b/src/test/java/damsonseam/core/PoolTest.java
@@ -12,29 +12,31 @@
 import org.junit.jupiter.api.Test;
 
 class PoolTest {
-    private final Pool pool = new Pool();
+    private final ServerList pool = new ServerList();
 
-    private static Pool.Server server(String id, State state) {
-        return new Pool.Server(id, 7, "127.0.0.1:1", 9, state, OptionalDouble.empty());
+    private static ServerList.Server server(String id, State state) {
+        return new ServerList.Server(id, 7, "127.0.0.1:1", 9, state, OptionalDouble.empty());
     }
 
     @Test
     void changesInOrderAreApplied() {
-        pool.apply(5, true, List.of(server("a", State.RUNNING), server("b", State.RUNNING)));
-        Pool.News news = pool.apply(6, false, List.of(server("a", State.DRAINING)));
-        assertFalse(news.gap());
+        pool.applyUpdate(5, true, List.of(server("a", State.RUNNING), server("b", State.RUNNING)));
+        ServerList.UpdateResult news = pool.applyUpdate(6, false, List.of(server("a", State.DRAINING)));
+        assertFalse(news.versionGap());
         assertEquals(State.DRAINING, news.entries().get(0).state());
-        pool.apply(7, false, List.of(server("a", State.GONE)));
-        assertEquals(List.of("b"), pool.servers().stream().map(Pool.Server::id).toList());
-        assertEquals(-1, pool.number("a"));
+        pool.applyUpdate(7, false, List.of(server("a", State.GONE)));
+        assertEquals(
+                List.of("b"), pool.servers().stream().map(ServerList.Server::id).toList());
+        assertEquals(-1, pool.indexOf("a"));
     }
 
     /** Guards drains: a gap asks for the list, but what the change takes away is taken away at once. */
     @Test
     void aGapAsksForTheListYetHonoursADrain() {
-        pool.apply(1, true, List.of(server("a", State.RUNNING), server("b", State.RUNNING)));
-        Pool.News news = pool.apply(3, false, List.of(server("a", State.DRAINING), server("c", State.RUNNING)));
-        assertTrue(news.gap());
+        pool.applyUpdate(1, true, List.of(server("a", State.RUNNING), server("b", State.RUNNING)));
+        ServerList.UpdateResult news =
+                pool.applyUpdate(3, false, List.of(server("a", State.DRAINING), server("c", State.RUNNING)));
+        assertTrue(news.versionGap());
         assertEquals(1, news.entries().size());
         assertEquals("a", news.entries().get(0).id());
         assertEquals(1, pool.version());
@@ -42,26 +44,29 @@
 
     @Test
     void olderAndRepeatedChangesArePassedOver() {
-        pool.apply(4, true, List.of(server("a", State.RUNNING)));
-        pool.apply(5, false, List.of(server("a", State.DRAINING)));
-        Pool.News late = pool.apply(5, false, List.of(server("a", State.RUNNING)));
+        pool.applyUpdate(4, true, List.of(server("a", State.RUNNING)));
+        pool.applyUpdate(5, false, List.of(server("a", State.DRAINING)));
+        ServerList.UpdateResult late = pool.applyUpdate(5, false, List.of(server("a", State.RUNNING)));
         assertTrue(late.entries().isEmpty());
-        assertFalse(late.gap());
+        assertFalse(late.versionGap());
     }
 
     @Test
     void aDirectoryStartedAnewStandsForItself() {
-        pool.apply(900, true, List.of(server("a", State.RUNNING)));
-        pool.apply(1, true, List.of(server("b", State.RUNNING)));
-        assertEquals(List.of("b"), pool.servers().stream().map(Pool.Server::id).toList());
-        assertFalse(pool.apply(2, false, List.of(server("c", State.RUNNING))).gap());
+        pool.applyUpdate(900, true, List.of(server("a", State.RUNNING)));
+        pool.applyUpdate(1, true, List.of(server("b", State.RUNNING)));
+        assertEquals(
+                List.of("b"), pool.servers().stream().map(ServerList.Server::id).toList());
+        assertFalse(
+                pool.applyUpdate(2, false, List.of(server("c", State.RUNNING))).versionGap());
     }
 
     @Test
     void anUpdateBeyondTheLimitIsRefusedAsAWhole() {
-        pool.apply(1, true, List.of(server("a", State.RUNNING)));
-        List<Pool.Server> many = Collections.nCopies(Pool.MOST_SERVERS + 1, server("x", State.RUNNING));
-        assertThrows(IllegalArgumentException.class, () -> pool.apply(2, true, many));
-        assertEquals(List.of("a"), pool.servers().stream().map(Pool.Server::id).toList());
+        pool.applyUpdate(1, true, List.of(server("a", State.RUNNING)));
+        List<ServerList.Server> many = Collections.nCopies(ServerList.MAX_SERVERS + 1, server("x", State.RUNNING));
+        assertThrows(IllegalArgumentException.class, () -> pool.applyUpdate(2, true, many));
+        assertEquals(
+                List.of("a"), pool.servers().stream().map(ServerList.Server::id).toList());
     }
 }
