--- a/src/test/java/damsonseam/core/QueueAgeTest.java
+++ b/src/test/java/damsonseam/core/QueueAgeTest.java
@@ -19,7 +19,7 @@
             @ForAll @IntRange(min = 20, max = 2_000) int stallAt,
             @ForAll @IntRange(max = 2_000) int stall,
             @ForAll @IntRange(min = 3, max = 40) int readsATurn) {
-        QueueAge age = new QueueAge(NONCE, 5);
+        QueueAgeEstimator age = new QueueAgeEstimator(NONCE, 5);
         ArrayDeque<Object> queue = new ArrayDeque<>();
         double nextMarker = 0;
         for (int now = 0; now < 6_000; now++) {
@@ -28,14 +28,14 @@
             for (int i = 0; !still && i < readsATurn && !queue.isEmpty(); i++) {
                 Object head = queue.poll();
                 if (head instanceof byte[] octets) {
-                    assertTrue(age.read(octets));
+                    assertTrue(age.consumeMarker(octets));
                 } else if (now > 10) {
                     double truly = now - (double) head;
-                    assertTrue(age.age(now) >= truly - 11, "bound " + age.age(now) + ", truly " + truly);
+                    assertTrue(age.maxAge(now) >= truly - 11, "bound " + age.maxAge(now) + ", truly " + truly);
                 }
             }
             if (!still && now >= nextMarker) {
-                queue.add(age.marker(now));
+                queue.add(age.createMarker(now));
                 nextMarker = now + 5;
             }
         }
@@ -43,9 +43,10 @@
 
     @Test
     void whatACallerSendsIsNoMarker() {
-        QueueAge age = new QueueAge(new byte[] {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}, 5);
-        assertFalse(age.read(new byte[24]));
-        assertFalse(age.read(new byte[3]));
-        assertEquals(0, age.age(99_999));
+        QueueAgeEstimator age =
+                new QueueAgeEstimator(new byte[] {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}, 5);
+        assertFalse(age.consumeMarker(new byte[24]));
+        assertFalse(age.consumeMarker(new byte[3]));
+        assertEquals(0, age.maxAge(99_999));
     }
 }
--- a/src/test/java/damsonseam/core/RouterTest.java
+++ b/src/test/java/damsonseam/core/RouterTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /** The core with the module and one server, without sockets: each set-up that goes out has one end. */
-class RouterTest implements Ports.Trunks, Ports.Directory {
-    private final Timers timers = new Timers(0);
+class RouterTest implements RouterPorts.ServerSignalling, RouterPorts.Directory {
+    private final TimerWheel timers = new TimerWheel(0);
     private final List<Long> sent = new ArrayList<>();
     private final List<FinalAnswer.Kind> answers = new ArrayList<>();
     private final Router router;
@@ -58,20 +58,20 @@
                 (call, number, deadline) -> {},
                 this,
                 this,
-                Story.NONE);
-        Pool.Server a = new Pool.Server("a", 0, "a:1", 0, State.RUNNING, OptionalDouble.empty());
-        router.directory(0, 1, true, List.of(a));
+                CallTracer.NONE);
+        ServerList.Server a = new ServerList.Server("a", 0, "a:1", 0, State.RUNNING, OptionalDouble.empty());
+        router.serverListUpdated(0, 1, true, List.of(a));
         turn(1);
     }
 
     private void turn(double now) {
-        router.beat(now);
-        router.settle(now);
+        router.onTick(now);
+        router.endBatch(now);
     }
 
     private CallRecord offer(double now, double patience) {
-        CallRecord call =
-                router.routed(now, "1", 0, 0, patience, 0, false, (at, of, answer) -> answers.add(answer.kind()));
+        CallRecord call = router.routedCallReceived(
+                now, "1", 0, 0, patience, 0, false, (at, of, answer) -> answers.add(answer.kind()));
         turn(now);
         return call;
     }
@@ -83,7 +83,7 @@
         double now = 10;
         for (int i = 0; i < 20; i++) {
             CallRecord call = offer(now, 2_000);
-            router.left(now + 5, call);
+            router.callerAbandoned(now + 5, call);
             turn(now + 5);
             now += 10;
         }
@@ -94,29 +94,30 @@
         }
         CallRecord late = offer(now, 2_000);
         assertEquals(List.of(late.id()), sent, "a server that never failed gets the next call at once");
-        router.stands(now + 20, late.id(), 0, Report.NONE);
+        router.callEstablished(now + 20, late.id(), 0, Report.NONE);
         turn(now + 20);
         assertEquals(List.of(FinalAnswer.Kind.STANDS), answers);
     }
 
     @Override
-    public Ports.NotSent setUp(double now, String server, long call, int attempt, double until, CallRecord record) {
+    public RouterPorts.SendFailure sendSetUp(
+            double now, String server, long call, int attempt, double until, CallRecord record) {
         sent.add(call);
         return null;
     }
 
     @Override
-    public double release(double now, String server, long call, int attempt, boolean timedOut) {
-        timers.set(now + 2, at -> router.released(at, call, attempt));
+    public double sendRelease(double now, String server, long call, int attempt, boolean timedOut) {
+        timers.schedule(now + 2, at -> router.releaseConfirmed(at, call, attempt));
         return now;
     }
 
     @Override
-    public void probe(double now, String server) {}
+    public void sendProbe(double now, String server) {}
 
     @Override
-    public void fetch() {}
+    public void requestServerList() {}
 
     @Override
-    public void follow() {}
+    public void subscribeToUpdates() {}
 }
--- a/src/test/java/damsonseam/core/TimersTest.java
+++ b/src/test/java/damsonseam/core/TimersTest.java
@@ -16,10 +16,10 @@
 
     @Property(tries = 200)
     void neverEarlyAndAtMostTwoTicksLate(@ForAll @Size(min = 1, max = 40) List<@DoubleRange(max = 5000) Double> ats) {
-        Timers timers = new Timers(100);
+        TimerWheel timers = new TimerWheel(100);
         List<double[]> fired = new ArrayList<>();
         for (double at : ats) {
-            timers.set(100 + at, now -> fired.add(new double[] {100 + at, now}));
+            timers.schedule(100 + at, now -> fired.add(new double[] {100 + at, now}));
         }
         for (double now = 100; now <= 5200; now += 1) {
             timers.poll(now);
@@ -34,25 +34,25 @@
 
     @Test
     void aLongPauseFiresAllThatFellDueAndNothingElse() {
-        Timers timers = new Timers(0);
+        TimerWheel timers = new TimerWheel(0);
         List<String> fired = new ArrayList<>();
-        timers.set(10, n -> fired.add("a"));
-        timers.set(1_999, n -> fired.add("b"));
-        timers.set(2_500, n -> fired.add("c"));
+        timers.schedule(10, n -> fired.add("a"));
+        timers.schedule(1_999, n -> fired.add("b"));
+        timers.schedule(2_500, n -> fired.add("c"));
         timers.poll(2_000.5);
         assertEquals(List.of("a", "b"), fired);
     }
 
     @Test
     void aCancelledTimerDoesNotFireEvenIfItsTickIsBeingFired() {
-        Timers timers = new Timers(0);
+        TimerWheel timers = new TimerWheel(0);
         List<String> fired = new ArrayList<>();
-        Timers.Timer[] second = new Timers.Timer[1];
-        timers.set(5, n -> {
+        TimerWheel.Timer[] second = new TimerWheel.Timer[1];
+        timers.schedule(5, n -> {
             fired.add("first");
             timers.cancel(second[0]);
         });
-        second[0] = timers.set(5, n -> fired.add("second"));
+        second[0] = timers.schedule(5, n -> fired.add("second"));
         timers.poll(20);
         assertEquals(List.of("first"), fired);
         assertEquals(0, timers.size());
@@ -60,9 +60,9 @@
 
     @Test
     void aTimerSetByATimerFiresInTheSamePollIfItIsDue() {
-        Timers timers = new Timers(0);
+        TimerWheel timers = new TimerWheel(0);
         List<Double> fired = new ArrayList<>();
-        timers.set(5, n -> timers.set(8, fired::add));
+        timers.schedule(5, n -> timers.schedule(8, fired::add));
         timers.poll(30);
         assertEquals(List.of(30.0), fired);
     }
--- a/src/test/java/damsonseam/dns/DnsPiecesTest.java
+++ b/src/test/java/damsonseam/dns/DnsPiecesTest.java
@@ -109,7 +109,7 @@
     @Test
     void theCacheKeepsTheLatelyUsedWithinItsLimit() {
         LookupCache cache = new LookupCache(2, 1_000);
-        var found = damsonseam.core.Candidates.of(List.of("a"));
+        var found = damsonseam.core.LookupResult.found(List.of("a"));
         cache.put("1", found, 1, 0);
         cache.put("2", found, 1, 0);
         cache.find("1", 1);
--- a/src/test/java/damsonseam/dns/ResolverTest.java
+++ b/src/test/java/damsonseam/dns/ResolverTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonseam.core.Candidates;
-import damsonseam.core.Timers;
+import damsonseam.core.LookupResult;
+import damsonseam.core.TimerWheel;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -22,7 +22,7 @@
 class ResolverTest {
     private static final String NUMBER = "59821000000001";
     private static final Name SUFFIX = E164Name.suffix("e164.example.org");
-    private final Timers timers = new Timers(0);
+    private final TimerWheel timers = new TimerWheel(0);
     private final List<Question> asked = new ArrayList<>();
     private final List<String> told = new ArrayList<>();
     private final Resolver resolver = new Resolver(
@@ -44,7 +44,7 @@
                 }
 
                 @Override
-                public void lookedUp(double now, long call, Candidates candidates) {
+                public void lookedUp(double now, long call, LookupResult candidates) {
                     told.add(call + " " + candidates.outcome() + " " + candidates.servers());
                 }
             });
--- a/src/test/java/damsonseam/node/CallerLeavesTest.java
+++ b/src/test/java/damsonseam/node/CallerLeavesTest.java
@@ -147,7 +147,7 @@
                 caller.send(rig.invite());
                 caller.close();
                 rig.empty();
-                assertEquals(0, rig.node.counters().stood);
+                assertEquals(0, rig.node.counters().established);
             }
             for (Socket filler : fillers) {
                 filler.close();
--- a/src/test/java/damsonseam/node/CoordinatorCrossingsTest.java
+++ b/src/test/java/damsonseam/node/CoordinatorCrossingsTest.java
@@ -60,7 +60,7 @@
                 rig.node
                         .loop()
                         .eventLoop()
-                        .submit(() -> rig.node.coordinator().fetch())
+                        .submit(() -> rig.node.coordinator().requestServerList())
                         .get();
             }
             assertNotNull(rig.coordinator(), "asked again");
--- a/src/test/java/damsonseam/node/NodeServerTest.java
+++ b/src/test/java/damsonseam/node/NodeServerTest.java
@@ -628,7 +628,7 @@
                 assertTrue(caller.next().status() >= 400);
             }
             Awaitility.await().until(() -> rig.node.open() == 0);
-            assertFalse(rig.node.counters().taken < 300);
+            assertFalse(rig.node.counters().received < 300);
         }
     }
 
--- a/src/test/java/damsonseam/overload/GateTest.java
+++ b/src/test/java/damsonseam/overload/GateTest.java
@@ -18,20 +18,20 @@
     static final OverloadSettings SETTINGS = new OverloadSettings(5, 20, 0.75, 0.92, 0.8, 30_000, 3, 2_000);
 
     /** A loop that takes queued calls, the dearest first, {@code cost} ms each. */
-    static final class SimLoop implements Admission.Load {
+    static final class SimLoop implements AdmissionController.Load {
         final List<ArrayDeque<Double>> lines;
         final double cost;
         final int[] offered;
         final int[] refused;
         final long[] served;
-        final Admission gate;
+        final AdmissionController gate;
         double now;
         double freeAt;
         double stoodStillAt = Double.NaN;
         double pressure = -1;
         double longestWait;
 
-        SimLoop(int ranks, double cost, Admission gate) {
+        SimLoop(int ranks, double cost, AdmissionController gate) {
             lines = java.util.stream.IntStream.range(0, ranks)
                     .mapToObj(i -> new ArrayDeque<Double>())
                     .toList();
@@ -64,7 +64,7 @@
             run(at);
             offered[rank]++;
             long advice = gate.decide(at, rank, sender, this);
-            if (advice == Admission.TAKE) {
+            if (advice == AdmissionController.ADMIT) {
                 lines.get(rank).add(at);
             } else {
                 refused[rank]++;
@@ -77,19 +77,19 @@
         }
 
         @Override
-        public int queuedFrom(int rank) {
+        public int queuedAtOrAbove(int rank) {
             return lines.subList(rank, lines.size()).stream()
                     .mapToInt(ArrayDeque::size)
                     .sum();
         }
 
         @Override
-        public double perCall() {
+        public double costPerCallMs() {
             return cost;
         }
 
         @Override
-        public double standing(double at) {
+        public double loopPauseMs(double at) {
             return Double.isNaN(stoodStillAt) ? 0 : at - stoodStillAt;
         }
 
@@ -99,12 +99,12 @@
         }
     }
 
-    private static Gate gate(int ranks) {
-        return new Gate(SETTINGS, ranks, 7);
+    private static LevelAdmissionController gate(int ranks) {
+        return new LevelAdmissionController(SETTINGS, ranks, 7);
     }
 
     /** Arrivals at {@code load} times what the loop can do, for so long; the share of each rank as given. */
-    private static SimLoop burst(Admission gate, double load, double ms, double dearShare, long seed) {
+    private static SimLoop burst(AdmissionController gate, double load, double ms, double dearShare, long seed) {
         SimLoop loop = new SimLoop(2, 0.05, gate);
         SplittableRandom random = new SplittableRandom(seed);
         double at = 0;
@@ -175,15 +175,15 @@
     /** A pressure that rests on the onset does not switch a rank on and off with every call. */
     @Test
     void aPressureAtTheOnsetDoesNotFlap() {
-        Levels levels = new Levels(2);
+        CongestionLevels levels = new CongestionLevels(2);
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 10_000; i++) {
-            levels.share(0, 0.2 * (random.nextDouble() - 0.5));
+            levels.refusalShare(0, 0.2 * (random.nextDouble() - 0.5));
         }
-        assertEquals(1, levels.onsets());
-        assertTrue(levels.any());
-        levels.share(0, -0.6);
-        assertTrue(!levels.any(), "over below the abatement level");
+        assertEquals(1, levels.onsetCount());
+        assertTrue(levels.isAnyRefusing());
+        levels.refusalShare(0, -0.6);
+        assertTrue(!levels.isAnyRefusing(), "over below the abatement level");
     }
 
     @Test
@@ -197,7 +197,7 @@
         }
         assertTrue(loop.refusedShare(0) > 0.8, "cheap " + loop.refusedShare(0));
         assertTrue(loop.refusedShare(1) < loop.refusedShare(0), "dear " + loop.refusedShare(1));
-        assertTrue(loop.queuedFrom(0) < 1_000, "queued " + loop.queuedFrom(0));
+        assertTrue(loop.queuedAtOrAbove(0) < 1_000, "queued " + loop.queuedAtOrAbove(0));
     }
 
     @Test
@@ -219,7 +219,7 @@
     /** One sender floods with what it calls the dearest: the other senders' dear calls hardly notice. */
     @Test
     void oneFloodingSenderDoesNotShutOutTheOthers() {
-        Gate gate = gate(2);
+        LevelAdmissionController gate = gate(2);
         SimLoop loop = new SimLoop(2, 0.05, gate);
         SplittableRandom random = new SplittableRandom(9);
         int[] others = new int[2];
@@ -231,23 +231,24 @@
             if (at > 1_000) {
                 int[] of = flooding ? flood : others;
                 of[0]++;
-                of[1] += advice == Admission.TAKE ? 0 : 1;
+                of[1] += advice == AdmissionController.ADMIT ? 0 : 1;
             }
         }
         double lost = others[1] / (double) others[0];
         assertTrue(lost < 0.05, "others lost " + lost);
         assertTrue(flood[1] / (double) flood[0] > 0.85, "the flood lost " + flood[1] / (double) flood[0]);
-        assertTrue(gate.surplus() > 0);
+        assertTrue(gate.surplusRefusals() > 0);
     }
 
     @Test
     void addressesThatSumAlikeAreTwoSendersAndOneNetworkIsOne() {
-        assertTrue(HeavySenders.sender(new byte[] {10, 0, 0, 32}) != HeavySenders.sender(new byte[] {10, 0, 1, 1}));
+        assertTrue(HeavySenderDetector.senderKey(new byte[] {10, 0, 0, 32})
+                != HeavySenderDetector.senderKey(new byte[] {10, 0, 1, 1}));
         byte[] one = new byte[16];
         byte[] other = new byte[16];
         other[15] = 1;
-        assertEquals(HeavySenders.sender(one), HeavySenders.sender(other));
-        assertTrue(HeavySenders.hash(one) != HeavySenders.hash(other));
+        assertEquals(HeavySenderDetector.senderKey(one), HeavySenderDetector.senderKey(other));
+        assertTrue(HeavySenderDetector.hash(one) != HeavySenderDetector.hash(other));
     }
 
     @Test
--- a/src/test/java/damsonseam/sim/HardCasesTest.java
+++ b/src/test/java/damsonseam/sim/HardCasesTest.java
@@ -141,7 +141,7 @@
         front.ask("desk", 1, TO_S0);
         front.run(3_100);
         assertEquals("failed", only());
-        assertEquals(0, front.router().open());
+        assertEquals(0, front.router().openCalls());
         assertEquals(1, front.trunks("s0").busy());
         front.losesCompletes = false;
         front.run(15_100);
@@ -160,7 +160,7 @@
                         front.setUps("s0").get(0).message().circuit(), Isup.NORMAL_CLEARING));
         front.run(10);
         assertEquals(0, front.trunks("s0").busy());
-        assertEquals(0, front.router().open());
+        assertEquals(0, front.router().openCalls());
         assertEquals("stands s0", only());
     }
 
@@ -229,7 +229,7 @@
         front.ask("desk", 2, "59821000000002");
         front.run(100);
         assertEquals(1, front.setUps("s0").size());
-        assertEquals(2, front.router().open());
+        assertEquals(2, front.router().openCalls());
     }
 
     /**
@@ -306,7 +306,7 @@
             front.ask("desk", i, String.format("598210%08d", i));
         }
         assertEquals("refused", only());
-        assertEquals(1, front.router().counters().tableFull);
+        assertEquals(1, front.router().counters().refusedTableFull);
         front.run(3_100);
         assertEquals(4, front.replies.size());
         front.ask("desk", 9, TO_S0);
@@ -373,7 +373,7 @@
     void theGuardRunsWithoutProofAfterTheWait() {
         double gap = leastGapAfterRelease(1, true);
         assertTrue(gap >= SimFront.RELEASE_WAIT && gap < 2 * SimFront.RELEASE_WAIT, "guard and " + gap + " ms");
-        assertTrue(front.router().counters().unprovedReleases > 0);
+        assertTrue(front.router().counters().unconfirmedReleases > 0);
     }
 
     /** The least time from a release to the next set-up of the same call, beyond the guard. */
@@ -410,11 +410,11 @@
         front.start("s0");
         front.ask("desk", 1, TO_S0);
         front.run(20);
-        front.router().drain();
+        front.router().startDraining();
         front.ask("desk", 2, "59821000000002");
         assertEquals("refused", only());
         front.run(200);
         assertEquals("stands s0", SimFront.kind(front.replies.get(1)));
-        assertEquals(0, front.router().unanswered());
+        assertEquals(0, front.router().countUnansweredCalls());
     }
 }
--- a/src/test/java/damsonseam/sim/SimFront.java
+++ b/src/test/java/damsonseam/sim/SimFront.java
@@ -10,14 +10,14 @@
 import damsonseam.config.Span;
 import damsonseam.core.CallRecord;
 import damsonseam.core.CallTable;
-import damsonseam.core.Candidates;
-import damsonseam.core.Circuits;
-import damsonseam.core.Pool;
-import damsonseam.core.Ports;
+import damsonseam.core.CallTracer;
+import damsonseam.core.CircuitAllocator;
+import damsonseam.core.LookupResult;
 import damsonseam.core.Router;
+import damsonseam.core.RouterPorts;
 import damsonseam.core.RouterSettings;
-import damsonseam.core.Story;
-import damsonseam.core.Timers;
+import damsonseam.core.ServerList;
+import damsonseam.core.TimerWheel;
 import damsonseam.dns.Authorities;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.DnsFormatException;
@@ -55,7 +55,7 @@
  * with an authority and calculators that do as they are told. A millisecond is a turn of its loop; what comes
  * in one millisecond comes in one turn, before the beat, as on the real loop.
  */
-public final class SimFront implements Ports.Trunks, Ports.Directory {
+public final class SimFront implements RouterPorts.ServerSignalling, RouterPorts.Directory {
     /** The domain of the numbers. */
     public static final Name SUFFIX = E164Name.suffix("e164.example.org");
     /** How long a release complete is awaited, in milliseconds. */
@@ -101,7 +101,7 @@
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Double.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
-    private final Timers timers = new Timers(now);
+    private final TimerWheel timers = new TimerWheel(now);
     private final Map<String, TrunkGroup> groups = new HashMap<>();
     private Router router;
     private EnumService service;
@@ -124,7 +124,7 @@
                 },
                 this,
                 this,
-                Story.NONE);
+                CallTracer.NONE);
         resolver = new Resolver(
                 SUFFIX,
                 new LookupCache(1_000, 60_000),
@@ -146,17 +146,17 @@
                     }
 
                     @Override
-                    public void lookedUp(double at, long call, Candidates candidates) {
-                        router.lookedUp(at, call, candidates);
+                    public void lookedUp(double at, long call, LookupResult candidates) {
+                        router.lookupCompleted(at, call, candidates);
                     }
                 });
         service = new EnumService(SUFFIX, s.plan(), router, new Transactions(200_000, 3_000), 50);
-        List<Pool.Server> list = new ArrayList<>();
+        List<ServerList.Server> list = new ArrayList<>();
         for (String server : servers) {
             list.add(server(server, list.size(), State.RUNNING, OptionalDouble.empty()));
             groups.put(server, group(server));
         }
-        router.directory(now, ++version, true, list);
+        router.serverListUpdated(now, ++version, true, list);
         run(20);
         return this;
     }
@@ -180,13 +180,13 @@
                 null);
     }
 
-    private static Pool.Server server(String id, int number, State state, OptionalDouble started) {
-        return new Pool.Server(id, number, "127.0.0.1:1", 100 + number, state, started);
+    private static ServerList.Server server(String id, int number, State state, OptionalDouble started) {
+        return new ServerList.Server(id, number, "127.0.0.1:1", 100 + number, state, started);
     }
 
     private TrunkGroup group(String server) {
-        TrunkGroup group =
-                new TrunkGroup(new Circuits(4_000, true), timers, TrunkGroup.Times.Q764, 1, new TrunkGroup.Output() {
+        TrunkGroup group = new TrunkGroup(
+                new CircuitAllocator(4_000, true), timers, TrunkGroup.Times.Q764, 1, new TrunkGroup.Output() {
                     @Override
                     public void send(Isup message) {
                         sent.add(new Sent(now, server, message));
@@ -195,7 +195,7 @@
 
                     @Override
                     public void stands(double at, long call, int attempt, Report report) {
-                        router.stands(at, call, attempt, report);
+                        router.callEstablished(at, call, attempt, report);
                     }
 
                     @Override
@@ -207,12 +207,12 @@
                             Reason reason,
                             OptionalDouble toldWait,
                             Report report) {
-                        router.ended(at, call, attempt, result, reason, toldWait, report);
+                        router.attemptEnded(at, call, attempt, result, reason, toldWait, report);
                     }
 
                     @Override
                     public void released(double at, long call, int attempt) {
-                        router.released(at, call, attempt);
+                        router.releaseConfirmed(at, call, attempt);
                     }
                 });
         group.connectionUp(now);
@@ -253,7 +253,7 @@
 
     /** A caller sends octets. */
     public void octets(Object source, byte[] octets) {
-        service.question(now, source, false, router.turnAge(now), octets, EnumService.Gate.OPEN, answer -> {
+        service.question(now, source, false, router.maxReadAge(now), octets, EnumService.Gate.OPEN, answer -> {
             try {
                 replies.add(new Reply(now, source, DnsCodec.decode(answer), answer));
             } catch (DnsFormatException e) {
@@ -264,7 +264,7 @@
 
     /** News of the directory. */
     public void news(String id, int number, State state, OptionalDouble started) {
-        router.directory(now, ++version, false, List.of(server(id, number, state, started)));
+        router.serverListUpdated(now, ++version, false, List.of(server(id, number, state, started)));
     }
 
     /** A connection to a calculator is lost; it is not made again. */
@@ -287,16 +287,16 @@
     }
 
     private void turn() {
-        router.catchUp(now);
+        router.fireOverdueTimers(now);
         while (!events.isEmpty() && events.peek().at() <= now) {
             events.poll().what().run();
         }
         if (now - beatAt >= FrontSettings.BEAT) {
             beatAt = now;
-            router.beat(now);
+            router.onTick(now);
         }
         resolver.deliver(now);
-        router.settle(now);
+        router.endBatch(now);
     }
 
     // ---- What tests see ---------------------------------------------------------------------------------
@@ -372,34 +372,35 @@
     }
 
     @Override
-    public Ports.NotSent setUp(double at, String server, long call, int attempt, double until, CallRecord record) {
+    public RouterPorts.SendFailure sendSetUp(
+            double at, String server, long call, int attempt, double until, CallRecord record) {
         if (unreachable.contains(server)) {
-            return new Ports.NotSent(Result.UNREACHABLE, Reason.NONE);
+            return new RouterPorts.SendFailure(Result.UNREACHABLE, Reason.NONE);
         }
         return groups.get(server).setUp(call, attempt, record.number(), 10)
                 ? null
-                : new Ports.NotSent(Result.FULL, Reason.NO_LINE);
+                : new RouterPorts.SendFailure(Result.FULL, Reason.NO_LINE);
     }
 
     @Override
-    public double release(double at, String server, long call, int attempt, boolean timedOut) {
+    public double sendRelease(double at, String server, long call, int attempt, boolean timedOut) {
         groups.get(server).release(at, call, attempt, timedOut ? Isup.TIMER_EXPIRED : Isup.NORMAL_CLEARING);
         return now;
     }
 
     @Override
-    public void probe(double at, String server) {
+    public void sendProbe(double at, String server) {
         boolean answers = !unreachable.contains(server);
-        later(1, () -> router.probed(now, server, true, answers, 1, Report.NONE));
+        later(1, () -> router.probeCompleted(now, server, true, answers, 1, Report.NONE));
     }
 
     @Override
-    public void fetch() {
+    public void requestServerList() {
         fetches++;
     }
 
     @Override
-    public void follow() {
+    public void subscribeToUpdates() {
         fetches++;
     }
 }
--- a/src/test/java/damsonseam/ss7/AspSessionTest.java
+++ b/src/test/java/damsonseam/ss7/AspSessionTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonseam.core.Timers;
+import damsonseam.core.TimerWheel;
 import damsonseam.ss7.M3ua.Kind;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,7 +13,7 @@
 
 class AspSessionTest {
     private static final int FAR = 1000;
-    private final Timers timers = new Timers(0);
+    private final TimerWheel timers = new TimerWheel(0);
     private final List<M3ua> sent = new ArrayList<>();
     private final List<String> told = new ArrayList<>();
     private final AspSession session = new AspSession(
--- a/src/test/java/damsonseam/ss7/TrunkGroupTest.java
+++ b/src/test/java/damsonseam/ss7/TrunkGroupTest.java
@@ -7,8 +7,8 @@
 import damsonseam.Front.Reason;
 import damsonseam.Front.Report;
 import damsonseam.Front.Result;
-import damsonseam.core.Circuits;
-import damsonseam.core.Timers;
+import damsonseam.core.CircuitAllocator;
+import damsonseam.core.TimerWheel;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.OptionalDouble;
@@ -20,7 +20,7 @@
 
 class TrunkGroupTest {
     private static final String NUMBER = "59821000000001";
-    private final Timers timers = new Timers(0);
+    private final TimerWheel timers = new TimerWheel(0);
     private final List<Isup> sent = new ArrayList<>();
     private final List<String> told = new ArrayList<>();
     private final List<String> releases = new ArrayList<>();
@@ -28,7 +28,7 @@
 
     private TrunkGroup group(int size, boolean controlsEven) {
         TrunkGroup made = new TrunkGroup(
-                new Circuits(size, controlsEven),
+                new CircuitAllocator(size, controlsEven),
                 timers,
                 new TrunkGroup.Times(1_000, 5_000, 2_000),
                 9,
