--- a/src/main/java/damsonseam/core/CallRecord.java
+++ b/src/main/java/damsonseam/core/CallRecord.java
@@ -3,13 +3,13 @@
 import damsonseam.Front.Result;
 
 /**
- * One call from its question to its release. The phases go one way only; each is entered once but for
- * {@code TRYING}, which counts its attempts. A change that the state machine does not have is a defect of the
- * core and is refused loudly.
+ * State machine of one call, from its arrival to its release. Phases advance in one direction only; {@code TRYING}
+ * covers all attempts of the call. A transition that the state machine does not have is a defect of the core and
+ * throws {@link IllegalStateException}.
  */
 public final class CallRecord {
 
-    /** Where a call is. Answered calls that stand stay until their circuit is released. */
+    /** The phases of a call. An established call stays in its phase until its circuit is released. */
     public enum Phase {
         LOOKING_UP,
         TRYING,
@@ -20,14 +20,14 @@
     private final long id;
     private final String number;
     private final int callClass;
-    private final boolean isRedial;
+    private final boolean redial;
     private final double receivedAt;
     private final double deadline;
     private RouterPorts.Caller caller;
     private Phase phase = Phase.LOOKING_UP;
     private int attempts;
     private String server;
-    private boolean hasPendingAttempt;
+    private boolean attemptPending;
     private double sentAt;
     private Result releaseOutcome;
     private double releaseStartedAt;
@@ -38,70 +38,70 @@
             long id,
             String number,
             int callClass,
-            boolean redialled,
-            double takenAt,
+            boolean redial,
+            double receivedAt,
             double deadline,
             RouterPorts.Caller caller) {
         this.id = id;
         this.number = number;
         this.callClass = callClass;
-        this.isRedial = redialled;
-        this.receivedAt = takenAt;
+        this.redial = redial;
+        this.receivedAt = receivedAt;
         this.deadline = deadline;
         this.caller = caller;
     }
 
-    /** Never repeats, not in the next run of the front either. */
+    /** Returns the call's id, which is never reused, not even after a restart of the front. */
     public long id() {
         return id;
     }
 
-    /** The digits called. */
+    /** Returns the called number's digits. */
     public String number() {
         return number;
     }
 
-    /** Place of its class in the settings. */
+    /** Returns the index of the call's class in the settings. */
     public int callClass() {
         return callClass;
     }
 
-    /** Whether the caller said that it dials again. */
+    /** Returns whether the caller marked the call as a redial. */
     public boolean isRedial() {
-        return isRedial;
+        return redial;
     }
 
-    /** When the front took it. */
+    /** Returns when the front received the call. */
     public double receivedAt() {
         return receivedAt;
     }
 
-    /** When its caller gives up; the final answer goes out before. */
+    /** Returns when the caller gives up; the final answer is sent before. */
     public double deadline() {
         return deadline;
     }
 
-    /** Where it is. */
+    /** Returns the current phase. */
     public Phase phase() {
         return phase;
     }
 
-    /** Set-ups sent so far, or proved not to have gone. */
+    /** Returns the number of attempts so far, including those whose set-up could not be sent. */
     public int attempts() {
         return attempts;
     }
 
-    /** The server of the last attempt, or null. */
+    /** Returns the server of the last attempt, or null if there was none. */
     public String server() {
         return server;
     }
 
-    /** Whether an attempt is out and unanswered. */
+    /** Returns whether an attempt is pending, that is, unanswered or still being released. */
     public boolean hasPendingAttempt() {
-        return hasPendingAttempt;
+        return attemptPending;
     }
 
-    /** When the last attempt went out. */
+    /** Returns when the set-up of the last attempt was sent. */
     public double sentAt() {
         return sentAt;
     }
@@ -111,53 +111,53 @@
     }
 
     int startAttempt(String to, double now) {
-        require(phase == Phase.TRYING && !hasPendingAttempt, "a second attempt while one is out");
+        require(phase == Phase.TRYING && !attemptPending, "attempt started while another one is pending");
         server = to;
-        hasPendingAttempt = true;
+        attemptPending = true;
         sentAt = now;
         return attempts++;
     }
 
     void endAttempt() {
-        require(hasPendingAttempt, "the end of an attempt that is not out");
-        hasPendingAttempt = false;
+        require(attemptPending, "no pending attempt to end");
+        attemptPending = false;
         releaseOutcome = null;
     }
 
-    /** The attempt is given up with this result; it counts as out until its release is proved or waited out. */
-    void startRelease(Result as, double now) {
-        require(hasPendingAttempt && releaseOutcome == null, "a release of an attempt that is not out");
-        releaseOutcome = as;
+    /** Starts the release of the pending attempt, which stays pending until the release is confirmed or times out. */
+    void startRelease(Result outcome, double now) {
+        require(attemptPending && releaseOutcome == null, "no pending attempt to release");
+        releaseOutcome = outcome;
         releaseStartedAt = now;
     }
 
-    /** What an attempt that is being released ends in, else null. */
+    /** Returns the outcome of the attempt that is being released, or null if none is. */
     Result releaseOutcome() {
         return releaseOutcome;
     }
 
-    /** When the attempt that is being released was given up. */
+    /** Returns when the release of the attempt that is being released was started. */
     double releaseStartedAt() {
         return releaseStartedAt;
     }
 
     void establish() {
-        require(hasPendingAttempt && releaseOutcome == null, "a call that stands without an attempt");
-        hasPendingAttempt = false;
+        require(attemptPending && releaseOutcome == null, "call established without a pending attempt");
+        attemptPending = false;
         transition(Phase.TRYING, Phase.ESTABLISHED);
     }
 
-    /** Ends the call; returns its caller the first time that one is owed an answer, else null. */
+    /** Closes the call; returns its caller if the caller has not been answered yet, else null. */
     RouterPorts.Caller close() {
         phase = Phase.CLOSED;
         return takeCaller();
     }
 
-    /** Hands out the caller once, so that no call is answered twice. */
+    /** Returns the caller on the first invocation and null afterwards, so that no call is answered twice. */
     RouterPorts.Caller takeCaller() {
-        RouterPorts.Caller owed = caller;
+        RouterPorts.Caller unanswered = caller;
         caller = null;
-        return owed;
+        return unanswered;
     }
 
     boolean isCurrentAttempt(int attempt) {
@@ -177,13 +177,13 @@
     }
 
     private void transition(Phase from, Phase to) {
-        require(phase == from, "no way from " + phase + " to " + to);
+        require(phase == from, "no transition from " + phase + " to " + to);
         phase = to;
     }
 
-    private void require(boolean holds, String what) {
-        if (!holds) {
-            throw new IllegalStateException("call " + id + ": " + what);
+    private void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalStateException("call " + id + ": " + message);
         }
     }
 }
--- a/src/main/java/damsonseam/core/CallTable.java
+++ b/src/main/java/damsonseam/core/CallTable.java
@@ -5,10 +5,9 @@
 import org.agrona.collections.Long2ObjectHashMap;
 
 /**
- * The open calls of one front, standing ones included, up to a limit; a call beyond it is not taken and its
- * caller is refused at once. Ids rise and never repeat: they start from the wall clock's second of the start,
- * shifted by 24 bits, so that a later run starts above all ids of an earlier one as long as a front takes
- * under 2^24 calls a second in the mean.
+ * The open calls of one front, established ones included, up to a limit. Used by the core's thread only. Ids ascend and
+ * are never reused: they begin at the wall-clock second of the start, shifted left by 24 bits, so that a restarted
+ * front continues above all earlier ids as long as it receives fewer than 2^24 calls per second on average.
  */
 public final class CallTable {
     private static final int ID_SEQUENCE_BITS = 24;
@@ -18,25 +17,25 @@
     private long nextId;
 
     /**
-     * An empty table.
+     * Creates an empty table.
      *
-     * @param limit most calls open at one time
-     * @param startSecond seconds of the wall clock at the start
+     * @param limit maximum number of open calls
+     * @param startSecond wall-clock time of the start, in seconds since the epoch
      */
     public CallTable(int limit, long startSecond) {
         if (limit < 1) {
-            throw new IllegalArgumentException("a call table needs room for one call, not " + limit);
+            throw new IllegalArgumentException("call table limit must be at least 1, not " + limit);
         }
         this.limit = limit;
         nextId = (startSecond << ID_SEQUENCE_BITS) + 1;
     }
 
-    /** Whether one more call would be too many. */
+    /** Returns whether the table has reached its limit. */
     public boolean isFull() {
         return calls.size() >= limit;
     }
 
-    /** The next id; each is given out once. */
+    /** Returns a new id; each is issued once. */
     long nextId() {
         return nextId++;
     }
@@ -53,12 +52,12 @@
         calls.remove(call.id());
     }
 
-    /** Open calls. */
+    /** Returns the number of open calls. */
     public int size() {
         return calls.size();
     }
 
-    /** A copy of the open calls, for the end of the front and for reports. */
+    /** Returns a copy of the open calls, for shutdown and reports. */
     public List<CallRecord> snapshot() {
         return new ArrayList<>(calls.values());
     }
--- a/src/main/java/damsonseam/core/CallTracer.java
+++ b/src/main/java/damsonseam/core/CallTracer.java
@@ -1,10 +1,15 @@
 package damsonseam.core;
 
-/** Told each step of each call, for the log: the same steps, in the same order, as the sockets see them. */
+/** Receives each step of each call for the log, in the order in which the sockets see them. */
 public interface CallTracer {
-    /** Hears nothing. */
+    /** A tracer that ignores all steps. */
     CallTracer NONE = (now, call, step, detail) -> {};
 
-    /** One step of a call: {@code taken}, {@code looked-up}, {@code set-up}, {@code ended}, {@code answer}... */
+    /**
+     * Records a step of a call.
+     *
+     * @param step {@code taken}, {@code looked-up}, {@code set-up}, {@code ended} or {@code answer}
+     * @param detail further information, by step: the number, the servers, the outcome or the answer
+     */
     void traceStep(double now, CallRecord call, String step, String detail);
 }
--- a/src/main/java/damsonseam/core/CircuitAllocator.java
+++ b/src/main/java/damsonseam/core/CircuitAllocator.java
@@ -3,35 +3,35 @@
 import java.util.BitSet;
 
 /**
- * The circuits of one trunk group. Why a circuit is not idle is kept in one bitmap for each reason, and which
- * ones are idle in two more, by the end that controls them, so that hunting is a search for the next set bit
- * and never a walk over circuits. Circuit identification codes run from 1 (ITU-T Q.763 1.2). Hunting goes
- * around from the last circuit taken, so that one just released rests longest; the codes that this end controls
- * go first (Q.764 2.9.1), which keeps dual seizure rare.
+ * Allocates the circuits of one trunk group. One bitmap for each reason records the circuits that are not idle, and
+ * two more record the idle ones by the exchange that controls them, so that hunting is a search for the next set bit
+ * instead of a scan of all circuits. Circuit identification codes start at 1 (ITU-T Q.763 1.2). Hunting proceeds
+ * cyclically from the last circuit seized, so that a released circuit is reused as late as possible. Circuits
+ * controlled by this exchange are seized first (Q.764 2.9.1), which keeps dual seizure rare.
  */
 public final class CircuitAllocator {
-    /** Most circuits of a group: a code has 12 bits. */
+    /** Maximum number of circuits in a group: a circuit identification code has 12 bits. */
     public static final int MAX_CIRCUITS = 4095;
 
     private final int size;
     private final int controlledParity;
-    private final BitSet taken = new BitSet();
+    private final BitSet seized = new BitSet();
     private final BitSet blocked = new BitSet();
     private final BitSet resetting = new BitSet();
-    private final BitSet idleOwn = new BitSet();
-    private final BitSet idleOther = new BitSet();
-    private int setIdle;
-    private int last;
+    private final BitSet idleControlled = new BitSet();
+    private final BitSet idleUncontrolled = new BitSet();
+    private int idleCount;
+    private int lastSeized;
 
     /**
-     * A group with all circuits idle.
+     * Creates a group with all circuits idle.
      *
-     * @param size the number of circuits, 1 to {@link #MAX_CIRCUITS}
-     * @param controlsEven whether this end, having the higher point code, controls the even codes
+     * @param size number of circuits, 1 to {@link #MAX_CIRCUITS}
+     * @param controlsEven whether this exchange has the higher point code and therefore controls the even codes
      */
     public CircuitAllocator(int size, boolean controlsEven) {
         if (size < 1 || size > MAX_CIRCUITS) {
-            throw new IllegalArgumentException("a trunk group has 1 to " + MAX_CIRCUITS + " circuits, not " + size);
+            throw new IllegalArgumentException("trunk group size must be 1 to " + MAX_CIRCUITS + ", not " + size);
         }
         this.size = size;
         controlledParity = controlsEven ? 0 : 1;
@@ -40,78 +40,78 @@
         }
     }
 
-    /** Takes an idle circuit; returns its code, or 0 if there is none. */
+    /** Seizes an idle circuit; returns its code, or 0 if none is idle. */
     public int seize() {
-        int code = next(idleOwn);
-        code = code == 0 ? next(idleOther) : code;
+        int code = nextIdle(idleControlled);
+        code = code == 0 ? nextIdle(idleUncontrolled) : code;
         if (code != 0) {
-            taken.set(code);
+            seized.set(code);
             update(code);
-            last = code;
+            lastSeized = code;
         }
         return code;
     }
 
-    private int next(BitSet of) {
-        int code = of.nextSetBit(last + 1);
-        code = code < 0 ? of.nextSetBit(1) : code;
+    private int nextIdle(BitSet circuits) {
+        int code = circuits.nextSetBit(lastSeized + 1);
+        code = code < 0 ? circuits.nextSetBit(1) : code;
         return Math.max(code, 0);
     }
 
-    /** The far end seized this circuit. */
+    /** Records that the remote exchange has seized a circuit. */
     public void seizeIncoming(int code) {
-        set(taken, code, true);
+        set(seized, code, true);
     }
 
-    /** The release of this circuit, or its reset, is complete. */
+    /** Returns a circuit to idle after its release or reset is complete. */
     public void setIdle(int code) {
         set(resetting, code, false);
-        set(taken, code, false);
+        set(seized, code, false);
     }
 
-    /** The circuit is being reset and is not used until {@link #setIdle}. */
+    /** Marks a circuit as being reset; it is not seized until {@link #setIdle}. */
     public void startReset(int code) {
         set(resetting, code, true);
     }
 
-    /** The far end blocks this circuit for new calls, or no longer does (Q.764 2.9.2). */
-    public void setBlocked(int code, boolean on) {
-        set(blocked, code, on);
+    /** Records that the remote exchange has blocked or unblocked a circuit for new calls (Q.764 2.9.2). */
+    public void setBlocked(int code, boolean isBlocked) {
+        set(blocked, code, isBlocked);
     }
 
-    private void set(BitSet of, int code, boolean on) {
+    private void set(BitSet flags, int code, boolean value) {
         if (!contains(code)) {
-            throw new IllegalArgumentException("circuit " + code + " of a group of " + size);
+            throw new IllegalArgumentException("circuit " + code + " is not in a group of " + size);
         }
-        of.set(code, on);
+        flags.set(code, value);
         update(code);
     }
 
     private void update(int code) {
-        BitSet of = isControlled(code) ? idleOwn : idleOther;
-        boolean now = !taken.get(code) && !blocked.get(code) && !resetting.get(code);
-        if (now != of.get(code)) {
-            of.set(code, now);
-            setIdle += now ? 1 : -1;
+        BitSet idleCircuits = isControlled(code) ? idleControlled : idleUncontrolled;
+        boolean isIdle = !seized.get(code) && !blocked.get(code) && !resetting.get(code);
+        if (isIdle != idleCircuits.get(code)) {
+            idleCircuits.set(code, isIdle);
+            idleCount += isIdle ? 1 : -1;
         }
     }
 
-    /** Circuits on which a set-up could go out. */
+    /** Returns the number of idle circuits. */
     public int idleCount() {
-        return setIdle;
+        return idleCount;
     }
 
-    /** Whether this code belongs to the group. */
+    /** Returns whether the group has a circuit with this code. */
     public boolean contains(int code) {
         return code >= 1 && code <= size;
     }
 
-    /** Whether this end wins when both seize this circuit at once (Q.764 2.9.1.4). */
+    /** Returns whether this exchange controls the circuit and so prevails in a dual seizure (Q.764 2.9.1.4). */
     public boolean isControlled(int code) {
         return code % 2 == controlledParity;
     }
 
-    /** The number of circuits. */
+    /** Returns the number of circuits in the group. */
     public int size() {
         return size;
     }
--- a/src/main/java/damsonseam/core/Counters.java
+++ b/src/main/java/damsonseam/core/Counters.java
@@ -1,29 +1,29 @@
 package damsonseam.core;
 
-/** Plain counts of one core, for health calls and reports; only the core's own thread writes them. */
+/** Counters of one router, for health checks and reports. Only the core's thread writes them. */
 public final class Counters {
-    /** Calls taken, and what became of them. */
+    /** Calls received. */
     public long received;
-    /** Answered: stands. */
+    /** Calls answered as established. */
     public long established;
-    /** Answered: refused. */
+    /** Calls answered as refused. */
     public long refused;
-    /** Of these, refused because the table was full. */
+    /** Calls refused because the call table was full; included in {@link #refused}. */
     public long refusedTableFull;
-    /** Answered: failed, unknown numbers included. */
+    /** Calls answered as failed, including unknown numbers. */
     public long failed;
-    /** Calls that the core failed at the last moment, as the module had not. */
+    /** Calls failed by the core shortly before their deadline because the module had not answered them. */
     public long failedAtDeadline;
     /** Set-ups sent. */
     public long setUps;
-    /** Set-ups for which there was no circuit or no way to the server. */
+    /** Set-ups not sent because no circuit was idle or the server was unreachable. */
     public long notSent;
-    /** Attempts abandoned in silence. */
+    /** Attempts given up because the server did not answer in time. */
     public long timedOut;
-    /** Releases whose proof did not come in the time it is waited for. */
+    /** Releases not confirmed by the server within the release timeout. */
     public long unconfirmedReleases;
-    /** Attempts called off by the module. */
+    /** Attempts cancelled by the module. */
     public long cancelled;
-    /** Longest pause of the loop, in milliseconds. */
+    /** Longest delay of a tick of the event loop, in milliseconds. */
     public double maxPauseMs;
 }
--- a/src/main/java/damsonseam/core/FinalAnswer.java
+++ b/src/main/java/damsonseam/core/FinalAnswer.java
@@ -1,17 +1,16 @@
 package damsonseam.core;
 
 /**
- * The one final answer of a call.
+ * The final answer to a call; each call gets exactly one.
  *
- * @param kind what it is
- * @param server the server at which the call stands, or empty
- * @param retryAfterMs how long the caller is asked to stay away, in milliseconds, 0 for no advice
- * @param reason a short reason for logs and for the caller
+ * @param kind kind of answer
+ * @param server server at which the call is established, otherwise empty
+ * @param retryAfterMs time the caller is asked to wait before it redials, in milliseconds, 0 for no advice
+ * @param reason short text for the log and the caller
  */
 public record FinalAnswer(Kind kind, String server, double retryAfterMs, String reason) {
 
-    /** The three ways in which a call is answered; {@code UNKNOWN_NUMBER} is a failure that dialling again
-     * does not mend. */
+    /** The kinds of answer: established ({@code STANDS}), refused, failed, and failed with no point in a redial. */
     public enum Kind {
         STANDS,
         REFUSED,
@@ -23,11 +22,11 @@
         return new FinalAnswer(Kind.STANDS, server, 0, "stands");
     }
 
-    static FinalAnswer refused(double returnAfter, String why) {
-        return new FinalAnswer(Kind.REFUSED, "", returnAfter, why);
+    static FinalAnswer refused(double retryAfterMs, String reason) {
+        return new FinalAnswer(Kind.REFUSED, "", retryAfterMs, reason);
     }
 
-    static FinalAnswer failed(String why) {
-        return new FinalAnswer(Kind.FAILED, "", 0, why);
+    static FinalAnswer failed(String reason) {
+        return new FinalAnswer(Kind.FAILED, "", 0, reason);
     }
 }
--- a/src/main/java/damsonseam/core/LookupResult.java
+++ b/src/main/java/damsonseam/core/LookupResult.java
@@ -3,25 +3,25 @@
 import java.util.List;
 
 /**
- * Where a number may be set up, as its look-up told.
+ * The result of a number's ENUM lookup.
  *
- * @param outcome whether the look-up found the number
- * @param servers the names of the servers, the first choice first; empty unless found
+ * @param outcome whether the lookup found the number
+ * @param servers names of the servers that may take the call, in order of preference; empty unless found
  */
 public record LookupResult(Outcome outcome, List<String> servers) {
-    /** The number does not exist, by an authority's word. */
+    /** An authoritative server stated that the number does not exist. */
     public static final LookupResult NOT_FOUND = new LookupResult(Outcome.NOT_FOUND, List.of());
-    /** No authority answered in time and nothing old was kept. */
+    /** No authoritative server answered in time and no stale result was cached. */
     public static final LookupResult UNAVAILABLE = new LookupResult(Outcome.UNAVAILABLE, List.of());
 
-    /** What a look-up came to. */
+    /** The possible outcomes of a lookup. */
     public enum Outcome {
         FOUND,
         NOT_FOUND,
         UNAVAILABLE
     }
 
-    /** A number that was found. */
+    /** Returns the result of a lookup that found the number. */
     public static LookupResult found(List<String> servers) {
         return new LookupResult(Outcome.FOUND, List.copyOf(servers));
     }
--- a/src/main/java/damsonseam/core/NumberPlan.java
+++ b/src/main/java/damsonseam/core/NumberPlan.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * What a number tells before it is looked up: the class of its call and how long its caller waits. Longest
- * prefix wins. A trie over digits, so that the work is the length of the number and not the size of the plan.
+ * Maps a number to the class of its calls and the patience of its callers, before any lookup. The longest matching
+ * prefix applies. Implemented as a trie over the digits, so that the cost of a search depends on the length of the
+ * number and not on the size of the plan. Immutable.
  */
 public final class NumberPlan {
-    /** Prefixes at most. */
+    /** Maximum number of prefixes. */
     public static final int MAX_PREFIXES = 100_000;
 
     private static final int RADIX = 10;
@@ -16,11 +17,11 @@
     private final int size;
 
     /**
-     * One line of the plan.
+     * An entry of the plan.
      *
-     * @param prefix leading digits, empty for all numbers
-     * @param callClass place of the class in the settings
-     * @param patience how long a caller waits for one try, in milliseconds
+     * @param prefix leading digits, empty to match all numbers
+     * @param callClass index of the call class in the settings
+     * @param patience time a caller waits for the answer to one call, in milliseconds
      */
     public record Entry(String prefix, int callClass, double patience) {}
 
@@ -29,16 +30,17 @@
         Entry entry;
     }
 
-    /** A plan of these lines. */
+    /** Creates a plan from its entries; throws if they exceed the limit, repeat a prefix or contain non-digits. */
     public NumberPlan(List<Entry> entries) {
         if (entries.size() > MAX_PREFIXES) {
-            throw new IllegalArgumentException(entries.size() + " prefixes, at most " + MAX_PREFIXES);
+            throw new IllegalArgumentException(entries.size() + " prefixes exceed the maximum of " + MAX_PREFIXES);
         }
         for (Entry entry : entries) {
             Node node = root;
             for (char c : entry.prefix().toCharArray()) {
                 if (c < '0' || c > '9') {
-                    throw new IllegalArgumentException("prefix " + entry.prefix() + " is not all digits");
+                    throw new IllegalArgumentException(
+                            "prefix " + entry.prefix() + " contains a character that is not a digit");
                 }
                 if (node.next[c - '0'] == null) {
                     node.next[c - '0'] = new Node();
@@ -46,14 +48,14 @@
                 node = node.next[c - '0'];
             }
             if (node.entry != null) {
-                throw new IllegalArgumentException("prefix " + entry.prefix() + " stands twice");
+                throw new IllegalArgumentException("prefix " + entry.prefix() + " is listed twice");
             }
             node.entry = entry;
         }
         size = entries.size();
     }
 
-    /** The line for a number, or null if none covers it. */
+    /** Returns the entry with the longest prefix of the number, or null if no prefix matches. */
     public Entry find(String number) {
         Node node = root;
         Entry best = root.entry;
@@ -65,7 +67,7 @@
         return best;
     }
 
-    /** Lines of the plan. */
+    /** Returns the number of entries. */
     public int size() {
         return size;
     }
--- a/src/main/java/damsonseam/core/QueueAgeEstimator.java
+++ b/src/main/java/damsonseam/core/QueueAgeEstimator.java
@@ -4,33 +4,33 @@
 import java.util.Arrays;
 
 /**
- * How long what is read from a datagram socket may have waited there. The system tells nobody, and a loop that
- * stood still, or that reads slower than its callers ask, would take old questions for new ones. So the front
- * sends itself a marker now and then: the socket's queue keeps its order, so all that is read after a marker
- * came after that marker was sent. A marker lost in a full queue makes the bound greater, never smaller.
+ * Estimates how long datagrams may have waited in a socket's receive queue. The operating system does not report this,
+ * and a loop that was paused, or that reads more slowly than requests arrive, would take old requests for new ones. The
+ * front therefore periodically sends a marker to its own socket. The queue is FIFO, so everything read after a marker
+ * arrived after that marker was sent. A marker lost from a full queue makes the bound larger, never smaller.
  */
 public final class QueueAgeEstimator {
     private static final int NONCE_BYTES = 16;
 
     private final byte[] nonce;
-    private final double between;
-    private double sentAt = Double.NaN;
+    private final double interval;
+    private double lastMarkerAt = Double.NaN;
 
     /**
-     * Nothing known yet.
+     * Creates an estimator that has not seen a marker.
      *
-     * @param nonce random octets that nobody else knows, so that no caller can send a marker
-     * @param between time between two markers, in milliseconds
+     * @param nonce secret random bytes, so that no caller can forge a marker
+     * @param interval time between two markers, in milliseconds
      */
-    public QueueAgeEstimator(byte[] nonce, double between) {
+    public QueueAgeEstimator(byte[] nonce, double interval) {
         if (nonce.length != NONCE_BYTES) {
-            throw new IllegalArgumentException("a nonce has " + NONCE_BYTES + " octets");
+            throw new IllegalArgumentException("nonce must have " + NONCE_BYTES + " bytes");
         }
         this.nonce = nonce.clone();
-        this.between = between;
+        this.interval = interval;
     }
 
-    /** The marker to send to the own socket now. */
+    /** Returns the marker to send to the front's own socket now. */
     public byte[] createMarker(double now) {
         return ByteBuffer.allocate(NONCE_BYTES + Double.BYTES)
                 .put(nonce)
@@ -38,19 +38,22 @@
                 .array();
     }
 
-    /** Takes octets read from the socket; true if they were a marker, and nothing of a caller's. */
-    public boolean consumeMarker(byte[] octets) {
-        if (octets.length != NONCE_BYTES + Double.BYTES
-                || !Arrays.equals(octets, 0, NONCE_BYTES, nonce, 0, NONCE_BYTES)) {
+    /** Examines a datagram read from the socket; returns true if it is a marker and not a request. */
+    public boolean consumeMarker(byte[] datagram) {
+        if (datagram.length != NONCE_BYTES + Double.BYTES
+                || !Arrays.equals(datagram, 0, NONCE_BYTES, nonce, 0, NONCE_BYTES)) {
             return false;
         }
-        double at = ByteBuffer.wrap(octets, NONCE_BYTES, Double.BYTES).getDouble();
-        sentAt = Double.isNaN(sentAt) ? at : Math.max(sentAt, at);
+        double markedAt = ByteBuffer.wrap(datagram, NONCE_BYTES, Double.BYTES).getDouble();
+        lastMarkerAt = Double.isNaN(lastMarkerAt) ? markedAt : Math.max(lastMarkerAt, markedAt);
         return true;
     }
 
-    /** The longest time that what is read now can have waited, beyond the ordinary gap between markers. */
+    /**
+     * Returns an upper bound, in milliseconds, of how long a datagram read now has waited, apart from the normal
+     * interval between markers.
+     */
     public double maxAge(double now) {
-        return Double.isNaN(sentAt) ? 0 : Math.max(0, now - sentAt - 2 * between);
+        return Double.isNaN(lastMarkerAt) ? 0 : Math.max(0, now - lastMarkerAt - 2 * interval);
     }
 }
--- a/src/main/java/damsonseam/core/Router.java
+++ b/src/main/java/damsonseam/core/Router.java
@@ -17,16 +17,17 @@
 import java.util.function.Function;
 
 /**
- * The core of one front: tells the decision module what happens and carries out what it decides. All methods
- * run on one thread; {@code now} is the front's clock in milliseconds and never runs backwards. Events are
- * handed to the module as they come, and {@link #endBatch} lets it act once all news of a moment is in.
+ * Connects the decision module of one front to its sockets: reports events to the module and carries out the
+ * module's decisions. All methods run on one thread. Times are in milliseconds of the front's clock, which never runs
+ * backwards. Events are passed to the module as they arrive; {@link #endBatch} lets the module act once a batch of
+ * simultaneous events is complete.
  *
- * <p>What the core adds to the module is bookkeeping, not choice: a call has one final answer, one attempt out
- * at a time, a circuit from set-up to release, and an end before its caller gives up even if nothing else
- * answers it. What the module wants of a call that is over is passed over.
+ * <p>The router keeps the books and makes no routing decisions. It guarantees that a call gets exactly one final
+ * answer, has at most one pending attempt, holds a circuit from set-up to release, and is answered before its
+ * caller's deadline even if neither the module nor a lookup responds. Decisions about closed calls are ignored.
  */
 public final class Router implements Actions {
-    /** Rounds of one moment at the most: each needs the module to have acted in the one before. */
+    /** Maximum decision rounds in a batch. Another round follows only if the module's last one caused new events. */
     private static final int MAX_DECISION_ROUNDS = 64;
 
     private final RouterSettings settings;
@@ -34,47 +35,51 @@
     private final CallTable calls;
     private final TimerWheel timers;
     private final ServerList serverList = new ServerList();
-    private final RouterPorts.NumberLookup lookups;
-    private final RouterPorts.ServerSignalling trunks;
-    private final RouterPorts.Directory serverListUpdated;
+    private final RouterPorts.NumberLookup lookup;
+    private final RouterPorts.ServerSignalling signalling;
+    private final RouterPorts.Directory directory;
     private final CallTracer tracer;
     private final Counters counters = new Counters();
-    /** Ends of attempts that were found out while the module was acting: it hears of them when it is done. */
+    /** Attempt outcomes detected while the module was acting; reported to it when it has returned. */
     private final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
 
     private double now;
     private double lastTickAt = Double.NaN;
     private double previousTickAt = Double.NaN;
-    /** Calls whose callers are owed an answer, by class; the last place is their sum. */
-    private final int[] unansweredCalls;
+    /** Unanswered calls by class; the last element is the total. */
+    private final int[] unansweredByClass;
 
-    private boolean hasOpenBatch;
+    private boolean batchOpen;
     private boolean draining;
 
-    /** A router over the given ports; {@code module} makes the decision module for the router's actions. */
+    /**
+     * Creates a router on the given ports.
+     *
+     * @param module creates the decision module, given the actions it may request
+     */
     public Router(
             RouterSettings settings,
             Function<Actions, Front> module,
             CallTable calls,
             TimerWheel timers,
-            RouterPorts.NumberLookup lookups,
-            RouterPorts.ServerSignalling trunks,
+            RouterPorts.NumberLookup lookup,
+            RouterPorts.ServerSignalling signalling,
             RouterPorts.Directory directory,
-            CallTracer story) {
+            CallTracer tracer) {
         this.settings = settings;
         this.calls = calls;
         this.timers = timers;
-        this.lookups = lookups;
-        this.trunks = trunks;
-        this.serverListUpdated = directory;
-        this.tracer = story;
+        this.lookup = lookup;
+        this.signalling = signalling;
+        this.directory = directory;
+        this.tracer = tracer;
         this.module = module.apply(this);
-        unansweredCalls = new int[settings.module().classes().size() + 1];
+        unansweredByClass = new int[settings.module().classes().size() + 1];
     }
 
-    // ---- The loop ---------------------------------------------------------------------------------------
+    // ---- Event loop -------------------------------------------------------------------------------------
 
-    /** The beat of the loop: fires timers that are due and measures how late the loop is. */
+    /** Handles the periodic tick of the event loop: records how late it is and fires the timers that are due. */
     public void onTick(double at) {
         advanceClock(at);
         if (!Double.isNaN(lastTickAt)) {
@@ -86,8 +91,8 @@
     }
 
     /**
-     * Fires what is overdue before anything is read after a pause: what has run out in the meantime is answered
-     * first, and not after the whole backlog. Cheap where there was no pause.
+     * Fires overdue timers before any input is read after a pause, so that expired calls are answered ahead of the
+     * backlog. Does nothing if the last tick was recent.
      */
     public void fireOverdueTimers(double at) {
         if (!Double.isNaN(lastTickAt) && at - lastTickAt > 3 * settings.tickIntervalMs()) {
@@ -97,66 +102,67 @@
     }
 
     /**
-     * How long something read from a stream at {@code at} may have waited unread. Between two beats the loop
-     * reads its sockets at least once, so what it reads now came after the last beat but one.
+     * Returns an upper bound, in milliseconds, of how long data read from a stream at {@code at} may have been waiting
+     * in the socket. The loop reads its sockets at least once between two ticks, so data read now arrived after the
+     * last tick but one.
      */
     public double maxReadAge(double at) {
         return Double.isNaN(previousTickAt) ? 0 : Math.max(0, at - previousTickAt - 3 * settings.tickIntervalMs());
     }
 
-    /** Lets the module act; call it once all events of this moment have been handed over. */
+    /** Lets the module act; to be called once all events of a batch have been passed on. */
     public void endBatch(double at) {
         advanceClock(at);
-        for (int round = 0; hasOpenBatch && round < MAX_DECISION_ROUNDS; round++) {
-            hasOpenBatch = false;
+        for (int round = 0; batchOpen && round < MAX_DECISION_ROUNDS; round++) {
+            batchOpen = false;
             module.settled(now);
-            for (Runnable echo = deferredEvents.poll(); echo != null; echo = deferredEvents.poll()) {
-                echo.run();
+            for (Runnable event = deferredEvents.poll(); event != null; event = deferredEvents.poll()) {
+                event.run();
             }
         }
     }
 
-    /** Whether {@link #endBatch} has something to do. */
+    /** Returns whether events were passed to the module since the last {@link #endBatch}. */
     public boolean hasOpenBatch() {
-        return hasOpenBatch;
+        return batchOpen;
     }
 
-    /** The router's clock moves on to {@code at}; it never runs backwards. */
+    /** Advances the router's clock to {@code at}; an earlier time is ignored. */
     public void advanceClock(double at) {
         now = Math.max(now, at);
     }
 
-    /** The time of the moment that is being handed over. */
+    /** Returns the time of the batch being processed. */
     public double now() {
         return now;
     }
 
     private void markBatchOpen() {
-        hasOpenBatch = true;
+        batchOpen = true;
     }
 
     // ---- Callers ----------------------------------------------------------------------------------------
 
     /**
-     * A call comes in whose number has to be looked up.
+     * Accepts a call whose number has to be looked up.
      *
-     * @param timeLeft until its caller gives up, by the settings or the caller's own word, in milliseconds
-     * @param age how long it may have waited unread; it is taken off the time left
-     * @return the call, or null if it was answered at once (its caller has been told)
+     * @param timeLeft time until the caller gives up, by the settings or as stated by the caller, in milliseconds
+     * @param age how long the request may have waited unread, in milliseconds; it is deducted from {@code timeLeft}
+     * @return the call, or null if it was refused or failed at once (the caller has been answered)
      */
     public CallRecord callReceived(
             double at, String number, int callClass, double timeLeft, double age, boolean redialled, Caller caller) {
-        CallRecord call = register(at, number, callClass, timeLeft, age, redialled, caller);
+        CallRecord call = registerCall(at, number, callClass, timeLeft, age, redialled, caller);
         if (call != null) {
-            lookups.lookUp(call.id(), number, call.deadline() - settings.answerMarginMs());
+            lookup.lookUp(call.id(), number, call.deadline() - settings.answerMarginMs());
         }
         return call;
     }
 
     /**
-     * A call comes in that says itself where it may go; else as {@link #callReceived}.
+     * Accepts a call that names its server itself and needs no lookup; otherwise like {@link #callReceived}.
      *
-     * @param firstChoice number of its first choice, -1 for none
+     * @param firstChoice index of its first-choice server, -1 for none
      */
     public CallRecord routedCallReceived(
             double at,
@@ -167,20 +173,20 @@
             double age,
             boolean redialled,
             Caller caller) {
-        CallRecord call = register(at, number, callClass, timeLeft, age, redialled, caller);
+        CallRecord call = registerCall(at, number, callClass, timeLeft, age, redialled, caller);
         if (call != null) {
             offerToModule(call, firstChoice, List.of());
         }
         return call;
     }
 
-    private CallRecord register(
+    private CallRecord registerCall(
             double at, String number, int callClass, double timeLeft, double age, boolean redialled, Caller caller) {
         advanceClock(at);
         double deadline = now + timeLeft - age;
         CallRecord call = new CallRecord(calls.nextId(), number, callClass, redialled, now, deadline, caller);
         counters.received++;
-        countUnanswered(call, 1);
+        adjustUnanswered(call, 1);
         if (calls.isFull() || draining) {
             counters.refusedTableFull += draining ? 0 : 1;
             finishCall(
@@ -196,11 +202,11 @@
             finishCall(call, FinalAnswer.failed("waited unread too long"));
             return null;
         }
-        call.replaceDeadlineTimer(timers.schedule(deadline - settings.answerMarginMs(), t -> lastMoment(call, t)));
+        call.replaceDeadlineTimer(timers.schedule(deadline - settings.answerMarginMs(), t -> onDeadline(call, t)));
         return call;
     }
 
-    private void offerToModule(CallRecord call, int firstChoice, List<Integer> numbers) {
+    private void offerToModule(CallRecord call, int firstChoice, List<Integer> serverIndexes) {
         call.startTrying();
         module.offered(
                 now,
@@ -212,12 +218,12 @@
                         call.deadline() - now,
                         call.isRedial(),
                         false,
-                        numbers));
+                        serverIndexes));
         markBatchOpen();
     }
 
-    /** Guards the one answer of each call against a module or a look-up that says nothing. */
-    private void lastMoment(CallRecord call, double at) {
+    /** Fails a call shortly before its deadline, in case neither the lookup nor the module has responded. */
+    private void onDeadline(CallRecord call, double at) {
         advanceClock(at);
         if (call.phase() == Phase.LOOKING_UP) {
             finishCall(call, FinalAnswer.failed("look-up not answered in time"));
@@ -228,7 +234,7 @@
         finishCall(call, FinalAnswer.failed("no answer in time"));
     }
 
-    /** The caller went away; nothing more is owed. */
+    /** Handles a caller that abandoned its call; no answer is sent any more. */
     public void callerAbandoned(double at, CallRecord call) {
         advanceClock(at);
         if (call.phase() == Phase.CLOSED || call.phase() == Phase.ESTABLISHED) {
@@ -242,14 +248,14 @@
     }
 
     /**
-     * Nobody waits for the call any more. Each attempt has one end, also where its call is over before: the module
-     * takes a set-up without an end for a server that is silent.
+     * Releases an unanswered call and reports the outcome of its pending attempt. Every attempt needs an outcome, even
+     * if its call closes first: the module takes a set-up without one for a sign of an unresponsive server.
      */
     private void abandonCall(CallRecord call, Result result) {
-        boolean out = call.hasPendingAttempt();
+        boolean attemptPending = call.hasPendingAttempt();
         releaseAttempt(call, result == Result.TIMED_OUT);
         module.left(now, call.id());
-        if (out) {
+        if (attemptPending) {
             module.ended(
                     now,
                     new Ending(
@@ -266,22 +272,22 @@
         markBatchOpen();
     }
 
-    /** What the look-up of a call's number came to; passed over where the call is over. */
-    public void lookupCompleted(double at, long id, LookupResult candidates) {
+    /** Handles the result of a call's number lookup; ignored if the call has closed. */
+    public void lookupCompleted(double at, long id, LookupResult result) {
         advanceClock(at);
         CallRecord call = calls.get(id);
         if (call == null || call.phase() != Phase.LOOKING_UP) {
             return;
         }
-        switch (candidates.outcome()) {
+        switch (result.outcome()) {
             case NOT_FOUND ->
                 finishCall(call, new FinalAnswer(FinalAnswer.Kind.UNKNOWN_NUMBER, "", 0, "unknown number"));
             case UNAVAILABLE -> finishCall(call, FinalAnswer.failed("look-up failed"));
             default -> {
-                tracer.traceStep(now, call, "looked-up", String.join(" ", candidates.servers()));
-                List<Integer> numbers = new ArrayList<>(candidates.servers().size());
-                candidates.servers().forEach(name -> numbers.add(serverList.indexOf(name)));
-                offerToModule(call, numbers.get(0), numbers);
+                tracer.traceStep(now, call, "looked-up", String.join(" ", result.servers()));
+                List<Integer> serverIndexes = new ArrayList<>(result.servers().size());
+                result.servers().forEach(name -> serverIndexes.add(serverList.indexOf(name)));
+                offerToModule(call, serverIndexes.get(0), serverIndexes);
             }
         }
     }
@@ -291,13 +297,13 @@
         timers.cancel(call.replaceAttemptTimer(null));
         Caller caller = call.close();
         calls.remove(call);
-        countUnanswered(call, -1);
+        adjustUnanswered(call, -1);
         deliverAnswer(call, caller, answer);
     }
 
-    private void countUnanswered(CallRecord call, int change) {
-        unansweredCalls[call.callClass()] += change;
-        unansweredCalls[unansweredCalls.length - 1] += change;
+    private void adjustUnanswered(CallRecord call, int change) {
+        unansweredByClass[call.callClass()] += change;
+        unansweredByClass[unansweredByClass.length - 1] += change;
     }
 
     private void deliverAnswer(CallRecord call, Caller caller, FinalAnswer answer) {
@@ -315,7 +321,7 @@
 
     // ---- Attempts ---------------------------------------------------------------------------------------
 
-    /** The attempt was answered: the call stands. Late answers of attempts that are over are passed over. */
+    /** Handles a positive answer to an attempt: the call is established. Answers of ended attempts are ignored. */
     public void callEstablished(double at, long id, int attempt, Report report) {
         advanceClock(at);
         CallRecord call = calls.get(id);
@@ -326,8 +332,8 @@
             return;
         }
         if (now > call.deadline()) {
-            // Guards against a pause of the loop: an answer read before the timer that should have ended its
-            // attempt long ago is too late for the caller, who has gone.
+            // After a pause of the loop, an answer may be read before the overdue attempt timer has fired. It is too
+            // late: the caller has given up.
             counters.timedOut++;
             giveUpAttempt(call, attempt, Result.TIMED_OUT);
             return;
@@ -335,8 +341,8 @@
         timers.cancel(call.replaceAttemptTimer(null));
         timers.cancel(call.replaceDeadlineTimer(null));
         call.establish();
-        countUnanswered(call, -1);
-        // The report rides with the answer, but the module hears it as news of the server.
+        adjustUnanswered(call, -1);
+        // The load report is carried in the answer, but the module expects it as a report of the server.
         if (!report.equals(Report.NONE)) {
             module.probed(now, call.server(), false, true, 0, report);
         }
@@ -345,9 +351,9 @@
         deliverAnswer(call, call.takeCaller(), FinalAnswer.established(call.server()));
     }
 
-    /** An attempt, or the standing call that it became, was ended by the far side or with its connection. */
+    /** Handles the end of an attempt or of the call it established, by the server or by loss of its connection. */
     public void attemptEnded(
-            double at, long id, int attempt, Result result, Reason reason, OptionalDouble toldWait, Report report) {
+            double at, long id, int attempt, Result result, Reason reason, OptionalDouble advisedWait, Report report) {
         advanceClock(at);
         CallRecord call = calls.get(id);
         if (call == null
@@ -355,42 +361,45 @@
                 || !call.hasPendingAttempt() && call.phase() != Phase.ESTABLISHED) {
             return;
         }
-        endAttempt(call, attempt, result, reason, toldWait, report);
+        endAttempt(call, attempt, result, reason, advisedWait, report);
     }
 
     private void endAttempt(
-            CallRecord call, int attempt, Result result, Reason reason, OptionalDouble toldWait, Report report) {
-        boolean last = call.phase() == Phase.ESTABLISHED;
-        double took = (call.releaseOutcome() == null ? now : call.releaseStartedAt()) - call.sentAt();
+            CallRecord call, int attempt, Result result, Reason reason, OptionalDouble advisedWait, Report report) {
+        boolean callEnded = call.phase() == Phase.ESTABLISHED;
+        double duration = (call.releaseOutcome() == null ? now : call.releaseStartedAt()) - call.sentAt();
         timers.cancel(call.replaceAttemptTimer(null));
-        if (!last) {
+        if (!callEnded) {
             call.endAttempt();
         }
         tracer.traceStep(now, call, "ended", call.server() + " " + result);
-        module.ended(now, new Ending(call.id(), call.server(), attempt, took, result, reason, toldWait, last, report));
+        module.ended(
+                now,
+                new Ending(
+                        call.id(), call.server(), attempt, duration, result, reason, advisedWait, callEnded, report));
         markBatchOpen();
-        if (last) {
+        if (callEnded) {
             call.close();
             calls.remove(call);
         }
     }
 
     /**
-     * Gives an attempt up. The module hears of its end only when the server has completed the release, or after
-     * the time that one is waited for: the guard before the next set-up then runs from a moment at which the
-     * server certainly, or as good as certainly, had the release. Guards against a way that is slower for the
-     * release than for the set-up that follows it to another server.
+     * Gives up an attempt. Its outcome is reported to the module only when the server has confirmed the release or the
+     * release timeout has expired. The guard time before the next set-up therefore starts when the server has, or
+     * almost certainly has, the release. Otherwise a set-up to another server could overtake a release that meets a
+     * longer network delay.
      */
     private void giveUpAttempt(CallRecord call, int attempt, Result result) {
         call.startRelease(result, now);
-        advanceClock(trunks.sendRelease(now, call.server(), call.id(), attempt, result == Result.TIMED_OUT));
+        advanceClock(signalling.sendRelease(now, call.server(), call.id(), attempt, result == Result.TIMED_OUT));
         timers.cancel(call.replaceAttemptTimer(timers.schedule(now + settings.releaseTimeoutMs(), at -> {
             counters.unconfirmedReleases++;
             releaseConfirmed(at, call.id(), attempt);
         })));
     }
 
-    /** The server has a release, or was given long enough for it; passed over where nothing is being released. */
+    /** Handles the confirmation or the timeout of a release; ignored unless the attempt is being released. */
     public void releaseConfirmed(double at, long id, int attempt) {
         advanceClock(at);
         CallRecord call = calls.get(id);
@@ -405,7 +414,7 @@
     private void releaseAttempt(CallRecord call, boolean timedOut) {
         if (call.hasPendingAttempt()) {
             if (call.releaseOutcome() == null) {
-                trunks.sendRelease(now, call.server(), call.id(), call.attempts() - 1, timedOut);
+                signalling.sendRelease(now, call.server(), call.id(), call.attempts() - 1, timedOut);
             }
             call.endAttempt();
         }
@@ -413,32 +422,38 @@
 
     // ---- Servers ----------------------------------------------------------------------------------------
 
-    /** An update of the pool directory; returns whether the whole list must be asked for. */
+    /** Applies a server-list update; returns whether an update was missed and the full list must be requested. */
     public boolean serverListUpdated(double at, long version, boolean full, List<ServerList.Server> servers) {
         advanceClock(at);
-        ServerList.UpdateResult news = serverList.applyUpdate(version, full, servers);
-        if (news.full() || !news.entries().isEmpty()) {
-            module.serverList(now, news.full(), news.entries());
+        ServerList.UpdateResult update = serverList.applyUpdate(version, full, servers);
+        if (update.full() || !update.entries().isEmpty()) {
+            module.serverList(now, update.full(), update.entries());
             markBatchOpen();
         }
-        return news.versionGap();
+        return update.versionGap();
     }
 
-    /** The directory could not be reached or broke off; the old list stays. */
+    /** Handles a directory that could not be reached or closed its stream; the current list remains in use. */
     public void directoryFailed(double at) {
         advanceClock(at);
         module.listFailed(now);
         markBatchOpen();
     }
 
-    /** The answer to a probe, or with {@code asked} false a report that came by itself. */
-    public void probeCompleted(double at, String server, boolean asked, boolean answered, double delay, Report report) {
+    /**
+     * Handles the result of a probe, or a load report that arrived unsolicited.
+     *
+     * @param solicited whether a probe was sent; false for an unsolicited report
+     * @param delay time from the probe to its answer, in milliseconds
+     */
+    public void probeCompleted(
+            double at, String server, boolean solicited, boolean answered, double delay, Report report) {
         advanceClock(at);
-        module.probed(now, server, asked, answered, delay, report);
+        module.probed(now, server, solicited, answered, delay, report);
         markBatchOpen();
     }
 
-    // ---- What the module asks for -----------------------------------------------------------------------
+    // ---- Actions requested by the decision module -------------------------------------------------------
 
     @Override
     public void send(long id, String server, double abandonAt) {
@@ -447,18 +462,18 @@
             return;
         }
         int attempt = call.startAttempt(server, now);
-        double latest = call.deadline() - settings.answerMarginMs();
-        double until = abandonAt > 0 ? Math.min(abandonAt, latest) : latest;
-        SendFailure notSent = trunks.sendSetUp(now, server, id, attempt, until, call);
-        if (notSent != null) {
+        double latestEnd = call.deadline() - settings.answerMarginMs();
+        double giveUpAt = abandonAt > 0 ? Math.min(abandonAt, latestEnd) : latestEnd;
+        SendFailure failure = signalling.sendSetUp(now, server, id, attempt, giveUpAt, call);
+        if (failure != null) {
             counters.notSent++;
             deferredEvents.add(() -> attemptEnded(
-                    now, id, attempt, notSent.result(), notSent.reason(), OptionalDouble.empty(), Report.NONE));
+                    now, id, attempt, failure.result(), failure.reason(), OptionalDouble.empty(), Report.NONE));
             return;
         }
         counters.setUps++;
         tracer.traceStep(now, call, "set-up", server);
-        call.replaceAttemptTimer(timers.schedule(until, at -> {
+        call.replaceAttemptTimer(timers.schedule(giveUpAt, at -> {
             advanceClock(at);
             if (call.hasPendingAttempt() && call.releaseOutcome() == null && call.isCurrentAttempt(attempt)) {
                 counters.timedOut++;
@@ -468,11 +483,11 @@
     }
 
     @Override
-    public void refuse(long id, double returnAfter) {
+    public void refuse(long id, double retryAfterMs) {
         CallRecord call = calls.get(id);
         if (call != null && call.phase() == Phase.TRYING) {
             releaseAttempt(call, false);
-            finishCall(call, FinalAnswer.refused(returnAfter, "refused"));
+            finishCall(call, FinalAnswer.refused(retryAfterMs, "refused"));
         }
     }
 
@@ -492,7 +507,7 @@
                 && call.hasPendingAttempt()
                 && call.releaseOutcome() == null
                 && call.isCurrentAttempt(attempt)) {
-            // The module hears that it is over when it is done with this moment.
+            // The module must have returned from its current batch before the outcome is reported to it.
             deferredEvents.add(() -> {
                 if (call.hasPendingAttempt() && call.releaseOutcome() == null && call.isCurrentAttempt(attempt)) {
                     counters.cancelled++;
@@ -503,8 +518,8 @@
     }
 
     @Override
-    public void timer(double after, long token) {
-        timers.schedule(now + after, at -> {
+    public void timer(double delay, long token) {
+        timers.schedule(now + delay, at -> {
             advanceClock(at);
             module.timer(now, token);
             markBatchOpen();
@@ -513,25 +528,24 @@
 
     @Override
     public void probe(String server) {
-        trunks.sendProbe(now, server);
+        signalling.sendProbe(now, server);
     }
 
     @Override
     public void fetchList() {
-        serverListUpdated.requestServerList();
+        directory.requestServerList();
     }
 
     @Override
     public void followList() {
-        serverListUpdated.subscribeToUpdates();
+        directory.subscribeToUpdates();
     }
 
     // ---- Reports ----------------------------------------------------------------------------------------
 
     /**
-     * The front ends before its callers' time is up: no call is taken any more, and all that are owed an answer get it
-     * now. Those that are held were never sent on and are refused, an attempt that is out is given up and its call
-     * fails.
+     * Answers all unanswered calls at once because the front stops before their deadlines, and accepts no new ones.
+     * Calls with a pending attempt have it released and fail; the others were never sent to a server and are refused.
      */
     public void closeUnansweredCalls(double at) {
         advanceClock(at);
@@ -550,39 +564,39 @@
         markBatchOpen();
     }
 
-    /** From now on no call is taken; those open are ended as usual. */
+    /** Stops accepting calls; open calls proceed as usual. */
     public void startDraining() {
         draining = true;
     }
 
-    /** Calls whose callers are still owed an answer. */
+    /** Counts the unanswered calls by a scan of the call table. */
     public long countUnansweredCalls() {
         return calls.snapshot().stream()
                 .filter(c -> c.phase() != Phase.ESTABLISHED)
                 .count();
     }
 
-    /** The list of servers as last told. */
+    /** Returns the server list as last updated. */
     public ServerList serverList() {
         return serverList;
     }
 
-    /** Counts since the start. */
+    /** Returns the counters since the start. */
     public Counters counters() {
         return counters;
     }
 
-    /** Calls whose callers are owed an answer, as counted; costs nothing. */
+    /** Returns the number of unanswered calls, from a counter and without a scan. */
     public int unansweredCalls() {
-        return unansweredCalls[unansweredCalls.length - 1];
+        return unansweredByClass[unansweredByClass.length - 1];
     }
 
-    /** Those of one class. */
+    /** Returns the number of unanswered calls of one class. */
     public int unansweredCalls(int callClass) {
-        return unansweredCalls[callClass];
+        return unansweredByClass[callClass];
     }
 
-    /** Calls open now, standing ones included. */
+    /** Returns the number of open calls, established ones included. */
     public int openCalls() {
         return calls.size();
     }
--- a/src/main/java/damsonseam/core/RouterPorts.java
+++ b/src/main/java/damsonseam/core/RouterPorts.java
@@ -4,57 +4,59 @@
 import damsonseam.Front.Result;
 
 /**
- * What the core asks of the sockets around it, all from the one thread that runs the core. An answer to any of
- * these comes back as an event of {@link Router}, never from within the call.
+ * The interfaces through which the {@link Router} uses the sockets around it. They are called from the core's thread
+ * only. Their results arrive later as events of the router, never from within the call.
  */
 public final class RouterPorts {
 
     private RouterPorts() {}
 
-    /** Numbers are looked up here. */
+    /** Looks up numbers. */
     @FunctionalInterface
     public interface NumberLookup {
-        /** Looks a number up; {@link Router#lookupCompleted} must follow, at the latest at {@code deadline}. */
+        /** Starts a lookup; {@link Router#lookupCompleted} must follow by {@code deadline}. */
         void lookUp(long call, String number, double deadline);
     }
 
-    /** Set-ups go out here. */
+    /** Signalling with the servers: set-ups, releases and probes. */
     public interface ServerSignalling {
         /**
-         * Takes a circuit and sends a set-up.
+         * Seizes a circuit and sends a set-up.
          *
-         * @param until when the attempt will be given up
-         * @return null if it went out, else why it did not: it is then proved that it never ran
+         * @param giveUpAt when the attempt will be given up
+         * @return null if the set-up was sent, otherwise the reason; the server then certainly never received it
          */
-        SendFailure sendSetUp(double now, String server, long call, int attempt, double until, CallRecord record);
+        SendFailure sendSetUp(double now, String server, long call, int attempt, double giveUpAt, CallRecord record);
 
         /**
-         * Releases what an attempt holds; {@link Router#releaseConfirmed} follows once the far side has proved that it
-         * has the release, if it ever does. Returns the time at which the release went out, which may be later
-         * than the moment that asked for it.
+         * Releases an attempt. {@link Router#releaseConfirmed} follows when the server has confirmed the release, which
+         * may never happen.
+         *
+         * @param timedOut whether the attempt is released because the server did not answer in time
+         * @return when the release was sent, which may be later than {@code now}
          */
         double sendRelease(double now, String server, long call, int attempt, boolean timedOut);
 
-        /** Probes a server; {@link Router#probeCompleted} must follow. */
+        /** Sends a probe to a server; {@link Router#probeCompleted} must follow. */
         void sendProbe(double now, String server);
     }
 
-    /** Why a set-up could not go out. */
+    /** The result and the reason reported for an attempt whose set-up could not be sent. */
     public record SendFailure(Result result, Reason reason) {}
 
-    /** The caller's side of one call: told its final answer once. */
+    /** The caller's side of one call; notified of its final answer at most once. */
     @FunctionalInterface
     public interface Caller {
-        /** The final answer of the call. */
+        /** Delivers the final answer of the call to its caller. */
         void onFinalAnswer(double now, CallRecord call, FinalAnswer answer);
     }
 
-    /** The pool directory, where the module asks for it. */
+    /** The pool directory, used at the decision module's request. */
     public interface Directory {
-        /** Asks for the whole list once. */
+        /** Requests the full server list once. */
         void requestServerList();
 
-        /** Asks for the changes from now on. */
+        /** Subscribes to server-list updates. */
         void subscribeToUpdates();
     }
 }
--- a/src/main/java/damsonseam/core/RouterSettings.java
+++ b/src/main/java/damsonseam/core/RouterSettings.java
@@ -3,13 +3,13 @@
 import damsonseam.Front.Settings;
 
 /**
- * What the core is given at the start.
+ * Settings of the {@link Router}.
  *
- * @param module what the decision module is given
- * @param maxCalls calls open at one time, standing ones included; one more is refused at once
- * @param tickIntervalMs time between two beats of the loop, in milliseconds; what comes later than that is a pause
- * @param releaseTimeoutMs how long the proof is awaited that a server has a release, in milliseconds
- * @param answerMarginMs how long before a caller gives up the core itself fails a call still unanswered
+ * @param module settings of the decision module
+ * @param maxCalls maximum number of open calls, established ones included; further calls are refused at once
+ * @param tickIntervalMs interval of the event loop's ticks, in milliseconds; any additional delay is a pause
+ * @param releaseTimeoutMs time to wait for a server's confirmation of a release, in milliseconds
+ * @param answerMarginMs time before a caller's deadline at which the core fails an unanswered call, in milliseconds
  */
 public record RouterSettings(
         Settings module, int maxCalls, double tickIntervalMs, double releaseTimeoutMs, double answerMarginMs) {}
--- a/src/main/java/damsonseam/core/ServerList.java
+++ b/src/main/java/damsonseam/core/ServerList.java
@@ -10,12 +10,15 @@
 import java.util.OptionalDouble;
 
 /**
- * The list of servers as the pool directory told it, in numbered versions. Changes apply only to the version
- * before; a gap is answered by asking for the whole list, and until it comes what the change said of drains
- * and removals is honoured all the same. A directory that is silent leaves the last list as it is.
+ * The server list as published by the pool directory, in numbered versions. An incremental update applies only to the
+ * version directly before it. After a gap, the full list has to be requested; until it arrives, drains and removals in
+ * the update are applied regardless. If the directory stops sending updates, the last list remains in use. Used by the
+ * core's thread only.
  */
 public final class ServerList {
-    /** Servers kept at most; more in one update is refused as a whole, as something is wrong with its sender. */
+    /**
+     * Maximum number of servers. An update that exceeds it is rejected as a whole, since its sender must be faulty.
+     */
     public static final int MAX_SERVERS = 1_000;
 
     private final Map<String, Server> servers = new LinkedHashMap<>();
@@ -23,14 +26,14 @@
     private long version;
 
     /**
-     * One server of the list.
+     * A server of the list.
      *
-     * @param id its name
-     * @param index what a first choice refers to
-     * @param address host and port of its signalling
-     * @param pointCode its signalling point code, 0 where the signalling knows none
-     * @param state whether it takes work
-     * @param startedAt when its processor started, on the front's clock, empty if long ago
+     * @param id name of the server
+     * @param index index by which a call's first choice refers to the server
+     * @param address host and port of its signalling connection
+     * @param pointCode signalling point code, 0 if the signalling protocol has none
+     * @param state whether the server accepts calls
+     * @param startedAt start time of its processor on the front's clock in milliseconds, empty if long ago
      */
     public record Server(String id, int index, String address, int pointCode, State state, OptionalDouble startedAt) {
         ServerEntry entry() {
@@ -38,17 +41,23 @@
         }
     }
 
-    /** What came of an update: news for the module, and whether the whole list must be asked for. */
+    /**
+     * The result of an update.
+     *
+     * @param full whether the entries replace the whole list
+     * @param entries the entries to report to the decision module
+     * @param versionGap whether an update was missed and the full list must be requested
+     */
     public record UpdateResult(boolean full, List<ServerEntry> entries, boolean versionGap) {}
 
-    /** Applies an update; an older or repeated version is passed over. */
+    /** Applies an update; an incremental one whose version is not newer than the current version is ignored. */
     public UpdateResult applyUpdate(long newVersion, boolean full, List<Server> entries) {
         if (entries.size() > MAX_SERVERS || !full && servers.size() + entries.size() > 2 * MAX_SERVERS) {
             throw new IllegalArgumentException(
-                    "an update of " + entries.size() + " servers, at most " + MAX_SERVERS + " are kept");
+                    "update of " + entries.size() + " servers rejected, at most " + MAX_SERVERS + " are kept");
         }
         if (full) {
-            // A directory that was started anew counts from the beginning: its full list stands for itself.
+            // A restarted directory counts versions from the beginning, so a full list applies whatever its version.
             servers.clear();
             idByIndex.clear();
             entries.forEach(this::store);
@@ -59,11 +68,11 @@
             return new UpdateResult(false, List.of(), false);
         }
         if (newVersion > version + 1) {
-            // Guards drains against lost news: what the change takes away is taken away before the list comes.
-            List<Server> closing =
+            // Keeps drains effective when updates were lost: removals are applied before the full list arrives.
+            List<Server> leaving =
                     entries.stream().filter(s -> s.state() != State.RUNNING).toList();
-            closing.stream().filter(s -> servers.containsKey(s.id())).forEach(this::store);
-            return new UpdateResult(false, toEntries(closing), true);
+            leaving.stream().filter(s -> servers.containsKey(s.id())).forEach(this::store);
+            return new UpdateResult(false, toEntries(leaving), true);
         }
         entries.forEach(this::store);
         version = newVersion;
@@ -88,17 +97,17 @@
         idByIndex.put(server.index(), server.id());
     }
 
-    /** The version applied last, 0 before the first. */
+    /** Returns the version applied last, 0 before the first update. */
     public long version() {
         return version;
     }
 
-    /** The servers of the list, draining ones included. */
+    /** Returns a copy of the listed servers, draining ones included. */
     public List<Server> servers() {
         return new ArrayList<>(servers.values());
     }
 
-    /** The number of a server by its name, or -1 if it is not on the list. */
+    /** Returns the index of the server with this name, or -1 if it is not listed. */
     public int indexOf(String id) {
         Server server = servers.get(id);
         return server == null ? -1 : server.index();
--- a/src/main/java/damsonseam/core/TimerWheel.java
+++ b/src/main/java/damsonseam/core/TimerWheel.java
@@ -4,40 +4,41 @@
 import java.util.List;
 
 /**
- * The timers of one front on a hashed wheel (Varghese and Lauck, SOSP 1987, scheme 6): setting and cancelling one
- * costs the same with ten or a hundred thousand of them, and most timers of calls are cancelled. A timer never
- * fires early, and fires at the first {@link #poll} that comes two ticks after its time; a poll after a long
- * pause fires all that fell due, tick by tick, those of one tick in the order in which they were set.
+ * Timers of one front on a hashed timing wheel (Varghese and Lauck, SOSP 1987, scheme 6). Scheduling and cancelling
+ * take constant time; most timers of calls are cancelled. A timer never fires early and fires no later than the first
+ * {@link #poll} two ticks after its due time. A poll after a long pause fires all overdue timers tick by tick, those of
+ * one tick in the order in which they were scheduled. Not thread-safe: used by the core's thread only.
  *
- * <p>Own code, since no library fits: Netty's wheel runs a thread of its own, and Agrona's keeps a table of slots
- * by the fullest one, which a burst of callers in one tick blows up (2,000 callers: 16 MB, 100,000: 1 GB). Here a
- * slot is a linked list, and the list's links are in the timers themselves.
+ * <p>No library fits: Netty's wheel runs its own thread, and Agrona's sizes all slots by the fullest one, so that a
+ * burst of callers in one tick exhausts memory (2,000 callers: 16 MB, 100,000: 1 GB). Here, a slot is an intrusive
+ * doubly linked list of timers.
  */
 public final class TimerWheel {
-    /** A tick is a millisecond; 4,096 slots turn every four seconds, about as long as a caller waits. */
+    /** Length of a tick. */
     private static final double TICK_MS = 1.0;
 
-    private static final int SLOTS = 1 << 12;
+    /** The wheel revolves about every four seconds, which is about as long as a caller waits. */
+    private static final int SLOT_COUNT = 1 << 12;
 
-    private final Timer[] slots = new Timer[SLOTS];
-    private final Timer[] last = new Timer[SLOTS];
+    private final Timer[] heads = new Timer[SLOT_COUNT];
+    private final Timer[] tails = new Timer[SLOT_COUNT];
     private final double origin;
     private long tick;
     private int size;
 
-    /** What to do when a timer is due. */
+    /** Called when a timer expires. */
     @FunctionalInterface
     public interface ExpiryHandler {
-        /** Called once, with the time of the poll that found it due. */
+        /** Handles the expiry; called once, with the time of the poll that fired the timer. */
         void onExpiry(double now);
     }
 
-    /** One timer that is set, by which it may be cancelled. */
+    /** Handle of a scheduled timer, used to cancel it. */
     public static final class Timer {
         private final long dueTick;
         private ExpiryHandler expiry;
-        private Timer before;
-        private Timer after;
+        private Timer previous;
+        private Timer next;
 
         private Timer(long dueTick, ExpiryHandler expiry) {
             this.dueTick = dueTick;
@@ -45,27 +46,27 @@
         }
     }
 
-    /** An empty wheel that starts at {@code now}. */
+    /** Creates an empty wheel that starts at {@code now}. */
     public TimerWheel(double now) {
         origin = now;
     }
 
-    /** Sets a timer for {@code at}, in milliseconds; a time already past is due at the next poll. */
+    /** Schedules a timer for {@code at}, in milliseconds; a timer for a past time fires at the next poll. */
     public Timer schedule(double at, ExpiryHandler expiry) {
         Timer timer = new Timer(Math.max(tick, (long) Math.ceil((at - origin) / TICK_MS)), expiry);
         int slot = slot(timer.dueTick);
-        timer.before = last[slot];
-        if (timer.before == null) {
-            slots[slot] = timer;
+        timer.previous = tails[slot];
+        if (timer.previous == null) {
+            heads[slot] = timer;
         } else {
-            timer.before.after = timer;
+            timer.previous.next = timer;
         }
-        last[slot] = timer;
+        tails[slot] = timer;
         size++;
         return timer;
     }
 
-    /** Cancels a timer; null, and one that has fired or been cancelled, is passed over. */
+    /** Cancels a timer; does nothing if it is null or has already fired or been cancelled. */
     public void cancel(Timer timer) {
         if (timer != null && timer.expiry != null) {
             unlink(timer);
@@ -73,29 +74,29 @@
     }
 
     private static int slot(long tick) {
-        return (int) (tick & SLOTS - 1);
+        return (int) (tick & SLOT_COUNT - 1);
     }
 
     private ExpiryHandler unlink(Timer timer) {
         ExpiryHandler expiry = timer.expiry;
         timer.expiry = null;
-        if (timer.before == null) {
-            slots[slot(timer.dueTick)] = timer.after;
+        if (timer.previous == null) {
+            heads[slot(timer.dueTick)] = timer.next;
         } else {
-            timer.before.after = timer.after;
+            timer.previous.next = timer.next;
         }
-        if (timer.after == null) {
-            last[slot(timer.dueTick)] = timer.before;
+        if (timer.next == null) {
+            tails[slot(timer.dueTick)] = timer.previous;
         } else {
-            timer.after.before = timer.before;
+            timer.next.previous = timer.previous;
         }
-        timer.before = null;
-        timer.after = null;
+        timer.previous = null;
+        timer.next = null;
         size--;
         return expiry;
     }
 
-    /** Fires all timers due at {@code now}; returns how many. */
+    /** Fires all timers due at {@code now}; returns their number. */
     public int poll(double now) {
         long until = (long) Math.floor((now - origin) / TICK_MS);
         int fired = 0;
@@ -107,19 +108,22 @@
         return fired;
     }
 
-    /** Fires the slot of this tick, each timer looked at once a pass; those of later turns of the wheel stay. */
+    /**
+     * Fires the due timers in the current tick's slot, in passes until none is due. Timers of later revolutions of the
+     * wheel remain in the slot.
+     */
     private int fire(double now) {
         int fired = 0;
         List<Timer> due = new ArrayList<>();
         do {
             due.clear();
-            for (Timer timer = slots[slot(tick)]; timer != null; timer = timer.after) {
+            for (Timer timer = heads[slot(tick)]; timer != null; timer = timer.next) {
                 if (timer.dueTick <= tick) {
                     due.add(timer);
                 }
             }
             for (Timer timer : due) {
-                // One that fired before it may have cancelled it; those that one sets are found in the next pass.
+                // An earlier timer may have cancelled this one. Timers that it schedules are found in the next pass.
                 if (timer.expiry != null) {
                     unlink(timer).onExpiry(now);
                     fired++;
@@ -129,7 +133,7 @@
         return fired;
     }
 
-    /** How many timers are set. */
+    /** Returns the number of scheduled timers. */
     public int size() {
         return size;
     }
--- a/src/main/java/damsonseam/core/package-info.java
+++ b/src/main/java/damsonseam/core/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Calls, trunk groups and the pool of servers, without sockets, threads or a clock: time is passed in, in
- * milliseconds of the front's own clock. Depends on the decision module and on nothing that does I/O.
+ * Bookkeeping of calls, timers, circuits and the server list. The package has no sockets, threads or clock of its own:
+ * the current time is passed in, in milliseconds of the front's clock. It depends on the decision module and on nothing
+ * that performs I/O.
  */
 package damsonseam.core;
