--- a/src/main/java/damsonseam/bench/Baseline.java
+++ b/src/main/java/damsonseam/bench/Baseline.java
@@ -11,8 +11,7 @@
     LEVELS {
         @Override
         AdmissionController admission(FrontSettings settings) {
-            return new LevelAdmissionController(
-                    settings.levels(), settings.ranks().count(), 1);
+            return new LevelAdmissionController(settings.overloadSettings(), settings.ranks().count(), 1);
         }
     },
     /** No shedding: only the bounds of lines and tables. */
@@ -33,7 +32,7 @@
     RANDOM {
         @Override
         AdmissionController admission(FrontSettings settings) {
-            LevelAdmissionController one = new LevelAdmissionController(settings.levels(), 1, 1);
+            LevelAdmissionController one = new LevelAdmissionController(settings.overloadSettings(), 1, 1);
             SplittableRandom random = new SplittableRandom(1);
             return (now, rank, sender, load) -> one.decide(now, 0, random.nextLong(), load);
         }
--- a/src/main/java/damsonseam/core/QueueAgeEstimator.java
+++ b/src/main/java/damsonseam/core/QueueAgeEstimator.java
@@ -40,8 +40,7 @@
 
     /** Takes octets read from the socket; true if they were a marker, and nothing of a caller's. */
     public boolean consumeMarker(byte[] octets) {
-        if (octets.length != NONCE_BYTES + Double.BYTES
-                || !Arrays.equals(octets, 0, NONCE_BYTES, nonce, 0, NONCE_BYTES)) {
+        if (octets.length != NONCE_BYTES + Double.BYTES || !Arrays.equals(octets, 0, NONCE_BYTES, nonce, 0, NONCE_BYTES)) {
             return false;
         }
         double at = ByteBuffer.wrap(octets, NONCE_BYTES, Double.BYTES).getDouble();
--- a/src/main/java/damsonseam/core/Router.java
+++ b/src/main/java/damsonseam/core/Router.java
@@ -274,8 +274,7 @@
             return;
         }
         switch (candidates.outcome()) {
-            case NOT_FOUND ->
-                finishCall(call, new FinalAnswer(FinalAnswer.Kind.UNKNOWN_NUMBER, "", 0, "unknown number"));
+            case NOT_FOUND -> finishCall(call, new FinalAnswer(FinalAnswer.Kind.UNKNOWN_NUMBER, "", 0, "unknown number"));
             case UNAVAILABLE -> finishCall(call, FinalAnswer.failed("look-up failed"));
             default -> {
                 tracer.traceStep(now, call, "looked-up", String.join(" ", candidates.servers()));
@@ -319,10 +318,7 @@
     public void callEstablished(double at, long id, int attempt, Report report) {
         advanceClock(at);
         CallRecord call = calls.get(id);
-        if (call == null
-                || !call.hasPendingAttempt()
-                || call.releaseOutcome() != null
-                || !call.isCurrentAttempt(attempt)) {
+        if (call == null || !call.hasPendingAttempt() || call.releaseOutcome() != null || !call.isCurrentAttempt(attempt)) {
             return;
         }
         if (now > call.deadline()) {
@@ -350,9 +346,7 @@
             double at, long id, int attempt, Result result, Reason reason, OptionalDouble toldWait, Report report) {
         advanceClock(at);
         CallRecord call = calls.get(id);
-        if (call == null
-                || !call.isCurrentAttempt(attempt)
-                || !call.hasPendingAttempt() && call.phase() != Phase.ESTABLISHED) {
+        if (call == null || !call.isCurrentAttempt(attempt) || !call.hasPendingAttempt() && call.phase() != Phase.ESTABLISHED) {
             return;
         }
         endAttempt(call, attempt, result, reason, toldWait, report);
@@ -394,10 +388,7 @@
     public void releaseConfirmed(double at, long id, int attempt) {
         advanceClock(at);
         CallRecord call = calls.get(id);
-        if (call != null
-                && call.hasPendingAttempt()
-                && call.releaseOutcome() != null
-                && call.isCurrentAttempt(attempt)) {
+        if (call != null && call.hasPendingAttempt() && call.releaseOutcome() != null && call.isCurrentAttempt(attempt)) {
             endAttempt(call, attempt, call.releaseOutcome(), Reason.NONE, OptionalDouble.empty(), Report.NONE);
         }
     }
@@ -452,8 +443,8 @@
         SendFailure notSent = trunks.sendSetUp(now, server, id, attempt, until, call);
         if (notSent != null) {
             counters.notSent++;
-            deferredEvents.add(() -> attemptEnded(
-                    now, id, attempt, notSent.result(), notSent.reason(), OptionalDouble.empty(), Report.NONE));
+            deferredEvents.add(() ->
+                    attemptEnded(now, id, attempt, notSent.result(), notSent.reason(), OptionalDouble.empty(), Report.NONE));
             return;
         }
         counters.setUps++;
@@ -488,10 +479,7 @@
     @Override
     public void cancel(long id, int attempt) {
         CallRecord call = calls.get(id);
-        if (call != null
-                && call.hasPendingAttempt()
-                && call.releaseOutcome() == null
-                && call.isCurrentAttempt(attempt)) {
+        if (call != null && call.hasPendingAttempt() && call.releaseOutcome() == null && call.isCurrentAttempt(attempt)) {
             // The module hears that it is over when it is done with this moment.
             deferredEvents.add(() -> {
                 if (call.hasPendingAttempt() && call.releaseOutcome() == null && call.isCurrentAttempt(attempt)) {
@@ -557,9 +545,7 @@
 
     /** Calls whose callers are still owed an answer. */
     public long countUnansweredCalls() {
-        return calls.snapshot().stream()
-                .filter(c -> c.phase() != Phase.ESTABLISHED)
-                .count();
+        return calls.snapshot().stream().filter(c -> c.phase() != Phase.ESTABLISHED).count();
     }
 
     /** The list of servers as last told. */
--- a/src/main/java/damsonseam/core/RouterSettings.java
+++ b/src/main/java/damsonseam/core/RouterSettings.java
@@ -11,5 +11,4 @@
  * @param releaseTimeoutMs how long the proof is awaited that a server has a release, in milliseconds
  * @param answerMarginMs how long before a caller gives up the core itself fails a call still unanswered
  */
-public record RouterSettings(
-        Settings module, int maxCalls, double tickIntervalMs, double releaseTimeoutMs, double answerMarginMs) {}
+public record RouterSettings(Settings module, int maxCalls, double tickIntervalMs, double releaseTimeoutMs, double answerMarginMs) {}
--- a/src/main/java/damsonseam/front/DirectoryClient.java
+++ b/src/main/java/damsonseam/front/DirectoryClient.java
@@ -1,9 +1,9 @@
 package damsonseam.front;
 
 import damsonseam.Front.State;
-import damsonseam.core.Router;
-import damsonseam.core.RouterPorts;
 import damsonseam.core.ServerList;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.Router;
 import damsonseam.directory.wire.Entry;
 import damsonseam.directory.wire.FollowRequest;
 import damsonseam.directory.wire.PoolDirectoryGrpc;
@@ -138,7 +138,7 @@
                         default -> throw new IllegalArgumentException("server " + e.getServer() + " without a state");
                     };
             if (e.getServer().isEmpty() || state != State.GONE) {
-                damsonseam.config.Endpoint.of(e.getAddress());
+                damsonseam.config.Endpoint.parse(e.getAddress());
             }
             servers.add(new ServerList.Server(
                     e.getServer(),
--- a/src/main/java/damsonseam/front/DnsListener.java
+++ b/src/main/java/damsonseam/front/DnsListener.java
@@ -50,7 +50,7 @@
         this.router = router;
         WorthRanks ranks = settings.ranks();
         queue = new CallQueue(ranks.count(), settings.overload().queue());
-        load = new FrontLoad(queue, ranks.count(), FrontSettings.BEAT);
+        load = new FrontLoad(queue, ranks.count(), FrontSettings.TICK_MS);
         intake = new Intake(loop, settings, suffix, plan, admission.get(), load, queue, this::drain);
         AdmissionController forStreams = admission.get();
         gate = (now, callClass, source) -> forStreams.decide(now, ranks.rankOfClass(callClass), sender(source), load);
@@ -61,9 +61,7 @@
     /** Who asks, for a question that came from an address or over a connection. */
     private static long sender(Object source) {
         InetSocketAddress from = (InetSocketAddress) (source instanceof Channel c ? c.remoteAddress() : source);
-        return from == null
-                ? 0
-                : HeavySenderDetector.senderKey(from.getAddress().getAddress());
+        return from == null ? 0 : HeavySenderDetector.senderKey(from.getAddress().getAddress());
     }
 
     /** Binds UDP and TCP to one port; with port 0 the system chooses one that is free for both. */
--- a/src/main/java/damsonseam/front/SelfWatch.java
+++ b/src/main/java/damsonseam/front/SelfWatch.java
@@ -11,8 +11,8 @@
 import damsonseam.overload.LoopDelayGauge;
 import damsonseam.overload.MemoryMonitor;
 import damsonseam.overload.OverloadSettings;
-import damsonseam.overload.TablePressure;
 import damsonseam.overload.WorthRanks;
+import damsonseam.overload.TablePressure;
 import java.util.EnumMap;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -37,7 +37,7 @@
     private final LookupCache cache;
     private final FrontLoad load;
     private final Vitals vitals = new Vitals();
-    private final LoopDelayGauge gauge = new LoopDelayGauge(FrontSettings.BEAT);
+    private final LoopDelayGauge gauge = new LoopDelayGauge(FrontSettings.TICK_MS);
     private final MemoryMonitor memory;
     private final TablePressure tables;
     private final HeldCallLimit held;
@@ -63,7 +63,7 @@
         this.cache = cache;
         this.load = load;
         front = settings.front().name();
-        levels = settings.levels();
+        levels = settings.overloadSettings();
         ranks = settings.ranks();
         memory = new MemoryMonitor(levels);
         tables = new TablePressure(levels, ranks.count());
--- a/src/main/java/damsonseam/front/TrunkLink.java
+++ b/src/main/java/damsonseam/front/TrunkLink.java
@@ -5,8 +5,8 @@
 import damsonseam.Front.Result;
 import damsonseam.config.FrontSettings;
 import damsonseam.core.CircuitAllocator;
-import damsonseam.core.Router;
 import damsonseam.core.ServerList;
+import damsonseam.core.Router;
 import damsonseam.loop.CoreLoop;
 import damsonseam.ss7.AspSession;
 import damsonseam.ss7.Isup;
@@ -162,7 +162,7 @@
                                         new Handler());
                     }
                 })
-                .connect(damsonseam.config.Endpoint.of(server.address()).socket());
+                .connect(damsonseam.config.Endpoint.parse(server.address()).toSocketAddress());
         made.addListener(f -> {
             if (!f.isSuccess()) {
                 again();
--- a/src/main/java/damsonseam/front/TrunkLinks.java
+++ b/src/main/java/damsonseam/front/TrunkLinks.java
@@ -6,9 +6,9 @@
 import damsonseam.Front.State;
 import damsonseam.config.FrontSettings;
 import damsonseam.core.CallRecord;
-import damsonseam.core.Router;
-import damsonseam.core.RouterPorts;
 import damsonseam.core.ServerList;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.Router;
 import damsonseam.loop.CoreLoop;
 import damsonseam.ss7.Isup;
 import java.util.HashMap;
@@ -21,8 +21,7 @@
     /** Calling party's category: ordinary subscriber (Q.763 3.11). */
     private static final int ORDINARY = 0x0a;
 
-    private static final RouterPorts.SendFailure UNREACHABLE =
-            new RouterPorts.SendFailure(Result.UNREACHABLE, Reason.NONE);
+    private static final RouterPorts.SendFailure UNREACHABLE = new RouterPorts.SendFailure(Result.UNREACHABLE, Reason.NONE);
     private static final RouterPorts.SendFailure NO_LINE = new RouterPorts.SendFailure(Result.FULL, Reason.NO_LINE);
 
     private final CoreLoop loop;
@@ -60,8 +59,7 @@
     }
 
     @Override
-    public RouterPorts.SendFailure sendSetUp(
-            double now, String server, long call, int attempt, double until, CallRecord record) {
+    public RouterPorts.SendFailure sendSetUp(double now, String server, long call, int attempt, double until, CallRecord record) {
         TrunkLink link = links.get(server);
         if (link == null || !link.usable()) {
             return UNREACHABLE;
--- a/src/main/java/damsonseam/node/ServerLinks.java
+++ b/src/main/java/damsonseam/node/ServerLinks.java
@@ -5,9 +5,9 @@
 import damsonseam.Front.Result;
 import damsonseam.Front.State;
 import damsonseam.core.CallRecord;
-import damsonseam.core.Router;
-import damsonseam.core.RouterPorts;
 import damsonseam.core.ServerList;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.Router;
 import damsonseam.loop.CoreLoop;
 import damsonseam.settings.LoadReportParser;
 import java.util.HashMap;
@@ -19,8 +19,7 @@
 
 /** The ways to the signalling servers, one for each that the list has named and that is still of use. */
 final class ServerLinks implements RouterPorts.ServerSignalling {
-    private static final RouterPorts.SendFailure UNREACHABLE =
-            new RouterPorts.SendFailure(Result.UNREACHABLE, Reason.NONE);
+    private static final RouterPorts.SendFailure UNREACHABLE = new RouterPorts.SendFailure(Result.UNREACHABLE, Reason.NONE);
     private static final double SWEEP_MS = 250;
 
     /**
@@ -132,8 +131,7 @@
     }
 
     @Override
-    public RouterPorts.SendFailure sendSetUp(
-            double now, String server, long call, int attempt, double until, CallRecord record) {
+    public RouterPorts.SendFailure sendSetUp(double now, String server, long call, int attempt, double until, CallRecord record) {
         ServerLink link = links.get(server);
         NodeCall of = shared.book().get(call);
         return link != null && of != null && link.setUp(of, call, attempt, until) ? null : UNREACHABLE;
--- a/src/main/java/damsonseam/overload/LevelAdmissionController.java
+++ b/src/main/java/damsonseam/overload/LevelAdmissionController.java
@@ -68,8 +68,8 @@
         double standing = load.loopPauseMs(now);
         // When a loop that stands still will turn again nobody knows; who is worth more waits longer for it.
         double wait = load.queuedAtOrAbove(rank) * load.costPerCallMs() + standing / Math.pow(PATIENCE, rank);
-        double delay = CongestionLevels.pressure(
-                wait, settings.delayOnset() / 2, settings.delayOnset(), settings.delayCeiling(), ranks);
+        double delay =
+                CongestionLevels.pressure(wait, settings.delayOnset() / 2, settings.delayOnset(), settings.delayCeiling(), ranks);
         return Math.max(delay, load.pressure(rank));
     }
 
--- a/src/test/java/damsonseam/core/PoolTest.java
+++ b/src/test/java/damsonseam/core/PoolTest.java
@@ -25,8 +25,7 @@
         assertFalse(news.versionGap());
         assertEquals(State.DRAINING, news.entries().get(0).state());
         pool.applyUpdate(7, false, List.of(server("a", State.GONE)));
-        assertEquals(
-                List.of("b"), pool.servers().stream().map(ServerList.Server::id).toList());
+        assertEquals(List.of("b"), pool.servers().stream().map(ServerList.Server::id).toList());
         assertEquals(-1, pool.indexOf("a"));
     }
 
@@ -34,8 +33,7 @@
     @Test
     void aGapAsksForTheListYetHonoursADrain() {
         pool.applyUpdate(1, true, List.of(server("a", State.RUNNING), server("b", State.RUNNING)));
-        ServerList.UpdateResult news =
-                pool.applyUpdate(3, false, List.of(server("a", State.DRAINING), server("c", State.RUNNING)));
+        ServerList.UpdateResult news = pool.applyUpdate(3, false, List.of(server("a", State.DRAINING), server("c", State.RUNNING)));
         assertTrue(news.versionGap());
         assertEquals(1, news.entries().size());
         assertEquals("a", news.entries().get(0).id());
@@ -55,10 +53,8 @@
     void aDirectoryStartedAnewStandsForItself() {
         pool.applyUpdate(900, true, List.of(server("a", State.RUNNING)));
         pool.applyUpdate(1, true, List.of(server("b", State.RUNNING)));
-        assertEquals(
-                List.of("b"), pool.servers().stream().map(ServerList.Server::id).toList());
-        assertFalse(
-                pool.applyUpdate(2, false, List.of(server("c", State.RUNNING))).versionGap());
+        assertEquals(List.of("b"), pool.servers().stream().map(ServerList.Server::id).toList());
+        assertFalse(pool.applyUpdate(2, false, List.of(server("c", State.RUNNING))).versionGap());
     }
 
     @Test
@@ -66,7 +62,6 @@
         pool.applyUpdate(1, true, List.of(server("a", State.RUNNING)));
         List<ServerList.Server> many = Collections.nCopies(ServerList.MAX_SERVERS + 1, server("x", State.RUNNING));
         assertThrows(IllegalArgumentException.class, () -> pool.applyUpdate(2, true, many));
-        assertEquals(
-                List.of("a"), pool.servers().stream().map(ServerList.Server::id).toList());
+        assertEquals(List.of("a"), pool.servers().stream().map(ServerList.Server::id).toList());
     }
 }
--- a/src/test/java/damsonseam/core/QueueAgeTest.java
+++ b/src/test/java/damsonseam/core/QueueAgeTest.java
@@ -43,8 +43,7 @@
 
     @Test
     void whatACallerSendsIsNoMarker() {
-        QueueAgeEstimator age =
-                new QueueAgeEstimator(new byte[] {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}, 5);
+        QueueAgeEstimator age = new QueueAgeEstimator(new byte[] {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}, 5);
         assertFalse(age.consumeMarker(new byte[24]));
         assertFalse(age.consumeMarker(new byte[3]));
         assertEquals(0, age.maxAge(99_999));
--- a/src/test/java/damsonseam/core/RouterTest.java
+++ b/src/test/java/damsonseam/core/RouterTest.java
@@ -70,8 +70,8 @@
     }
 
     private CallRecord offer(double now, double patience) {
-        CallRecord call = router.routedCallReceived(
-                now, "1", 0, 0, patience, 0, false, (at, of, answer) -> answers.add(answer.kind()));
+        CallRecord call =
+                router.routedCallReceived(now, "1", 0, 0, patience, 0, false, (at, of, answer) -> answers.add(answer.kind()));
         turn(now);
         return call;
     }
@@ -100,8 +100,7 @@
     }
 
     @Override
-    public RouterPorts.SendFailure sendSetUp(
-            double now, String server, long call, int attempt, double until, CallRecord record) {
+    public RouterPorts.SendFailure sendSetUp(double now, String server, long call, int attempt, double until, CallRecord record) {
         sent.add(call);
         return null;
     }
--- a/src/test/java/damsonseam/overload/GateTest.java
+++ b/src/test/java/damsonseam/overload/GateTest.java
@@ -242,8 +242,7 @@
 
     @Test
     void addressesThatSumAlikeAreTwoSendersAndOneNetworkIsOne() {
-        assertTrue(HeavySenderDetector.senderKey(new byte[] {10, 0, 0, 32})
-                != HeavySenderDetector.senderKey(new byte[] {10, 0, 1, 1}));
+        assertTrue(HeavySenderDetector.senderKey(new byte[] {10, 0, 0, 32}) != HeavySenderDetector.senderKey(new byte[] {10, 0, 1, 1}));
         byte[] one = new byte[16];
         byte[] other = new byte[16];
         other[15] = 1;
