--- a/src/main/java/damsonseam/loop/CallLog.java
+++ b/src/main/java/damsonseam/loop/CallLog.java
@@ -5,16 +5,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The story of each call in the log, one line a step. */
+/** Writes the call trace to the log, one line for each step of a call. */
 public final class CallLog implements CallTracer {
-    /** The logger that tells the calls. */
+    /** Name of the logger that writes the call trace. */
     public static final String LOGGER_NAME = "damsonseam.calls";
 
     private static final Logger LOG = LoggerFactory.getLogger(LOGGER_NAME);
 
     private final String front;
 
-    /** The log of the front of this name. */
+    /** Creates the call log of the front with this name. */
     public CallLog(String front) {
         this.front = front;
     }
--- a/src/main/java/damsonseam/loop/CoreLoop.java
+++ b/src/main/java/damsonseam/loop/CoreLoop.java
@@ -6,101 +6,107 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The turn of the one event loop: all that came at once is handed to the core first, and the module acts when
- * the loop has read what there was. {@link #scheduleBatchEnd} asks for that once a turn, however many events came.
+ * Drives the core on one Netty event loop: delivers periodic ticks and ends the batch of events after the loop has read
+ * everything available. {@link #scheduleBatchEnd} ends the batch once per loop iteration, however many events arrived.
+ * That method must be called on the event loop's thread.
  */
 public final class CoreLoop {
-    /** A turn longer than this may have kept the sockets unread for too long. */
+    /** After an iteration longer than this, the sockets may have remained unread for too long. */
     private static final long LONG_ITERATION_NS = 10_000_000;
-    /** Further turns that something waits for at the most while turns are long. */
+    /** Maximum number of additional iterations to wait for while iterations are long. */
     private static final int MAX_EXTRA_ITERATIONS = 3;
 
     private final EventLoop eventLoop;
-    private final double beat;
+    private final double tickIntervalMs;
     private final long origin = System.nanoTime();
     private final TimerWheel timers = new TimerWheel(0);
-    private Runnable settle = () -> {};
-    private boolean asked;
-    private ScheduledFuture<?> beats;
+    private Runnable onBatchEnd = () -> {};
+    private boolean batchEndScheduled;
+    private ScheduledFuture<?> ticks;
 
     /**
-     * A loop that has not started.
+     * Creates a loop that has not started.
      *
-     * @param beat time between two beats, in milliseconds
+     * @param tickIntervalMs time between two ticks, in milliseconds
      */
-    public CoreLoop(EventLoop eventLoop, double beat) {
+    public CoreLoop(EventLoop eventLoop, double tickIntervalMs) {
         this.eventLoop = eventLoop;
-        this.beat = beat;
+        this.tickIntervalMs = tickIntervalMs;
     }
 
-    /** Starts the beat; {@code settle} lets the core act. */
-    public void start(Runnable onBeat, Runnable settle) {
-        this.settle = settle;
-        long every = (long) (beat * 1_000_000);
-        beats = eventLoop.scheduleWithFixedDelay(
+    /**
+     * Starts the ticks.
+     *
+     * @param onTick run on each tick
+     * @param onBatchEnd run at the end of each batch of events, lets the core act
+     */
+    public void start(Runnable onTick, Runnable onBatchEnd) {
+        this.onBatchEnd = onBatchEnd;
+        long intervalNs = (long) (tickIntervalMs * 1_000_000);
+        ticks = eventLoop.scheduleWithFixedDelay(
                 () -> {
-                    onBeat.run();
+                    onTick.run();
                     scheduleBatchEnd();
                 },
-                every,
-                every,
+                intervalNs,
+                intervalNs,
                 TimeUnit.NANOSECONDS);
     }
 
-    /** The front's clock in milliseconds. */
+    /** Returns the time of the front's clock, in milliseconds. */
     public double now() {
         return (System.nanoTime() - origin) / 1e6;
     }
 
-    /** The timers that the beat fires. */
+    /** Returns the timers, which are to be polled on each tick. */
     public TimerWheel timers() {
         return timers;
     }
 
-    /** The event loop beneath. */
+    /** Returns the underlying event loop. */
     public EventLoop eventLoop() {
         return eventLoop;
     }
 
-    /** Something was handed to the core: it acts when this turn has read all there is. */
+    /** Schedules the end of the batch for when this iteration has read everything available; idempotent until then. */
     public void scheduleBatchEnd() {
-        if (!asked) {
-            asked = true;
+        if (!batchEndScheduled) {
+            batchEndScheduled = true;
             eventLoop.execute(() -> {
-                asked = false;
-                settle.run();
+                batchEndScheduled = false;
+                onBatchEnd.run();
             });
         }
     }
 
     /**
-     * Runs something once the sockets have been read again: what had come before a decision, but was not read when it
-     * was made, then counts before the decision is carried out. Where this turn or the next is a long one, the sockets
-     * are read once more, some turns at the most.
+     * Runs a task after the sockets have been read again, so that input which arrived before a decision but was unread
+     * at that time is processed before the decision is carried out. If an iteration in between was long, the sockets
+     * are read once more, a limited number of times.
      */
-    public void runAfterReads(Runnable what) {
-        runAfterReads(what, MAX_EXTRA_ITERATIONS);
+    public void runAfterReads(Runnable task) {
+        runAfterReads(task, MAX_EXTRA_ITERATIONS);
     }
 
-    private void runAfterReads(Runnable what, int turns) {
-        long asked = System.nanoTime();
-        // A task scheduled by a task is fetched in the next turn, behind its reads.
+    private void runAfterReads(Runnable task, int extraIterations) {
+        long requestedAt = System.nanoTime();
+        // A task scheduled from within a task runs in the next iteration, after that iteration's reads.
         eventLoop.execute(() -> eventLoop.schedule(
                 () -> {
-                    if (turns > 0 && System.nanoTime() - asked > LONG_ITERATION_NS) {
-                        runAfterReads(what, turns - 1);
+                    if (extraIterations > 0 && System.nanoTime() - requestedAt > LONG_ITERATION_NS) {
+                        runAfterReads(task, extraIterations - 1);
                     } else {
-                        what.run();
+                        task.run();
                     }
                 },
                 0,
                 TimeUnit.NANOSECONDS));
     }
 
-    /** Ends the beat. */
+    /** Stops the ticks. */
     public void stop() {
-        if (beats != null) {
-            beats.cancel(false);
+        if (ticks != null) {
+            ticks.cancel(false);
         }
     }
 }
--- a/src/main/java/damsonseam/loop/package-info.java
+++ b/src/main/java/damsonseam/loop/package-info.java
@@ -1,2 +1,2 @@
-/** The turn of an event loop, shared by all programs that run the core on sockets. */
+/** Drives the core on a Netty event loop; shared by all programs that run the core on sockets. */
 package damsonseam.loop;
--- a/src/main/java/damsonseam/overload/AdmissionController.java
+++ b/src/main/java/damsonseam/overload/AdmissionController.java
@@ -1,35 +1,35 @@
 package damsonseam.overload;
 
-/** Decides about calls before anything is spent on them. One object serves one thread. */
+/** Decides whether to admit a call before any work is spent on it. Each thread uses an instance of its own. */
 @FunctionalInterface
 public interface AdmissionController {
-    /** The call is taken. */
+    /** The decision to admit a call. */
     long ADMIT = -1;
 
     /**
-     * Decides about one call.
+     * Decides whether to admit a call.
      *
-     * @param now the front's clock, in milliseconds
-     * @param rank of its worth
-     * @param sender a hash of its caller's address
-     * @param load how the front fares
-     * @return {@link #ADMIT}, or how long its caller is asked to stay away, in milliseconds
+     * @param now time of the front's clock, in milliseconds
+     * @param rank worth rank of the call
+     * @param sender hash of the caller's address
+     * @param load current load of the front
+     * @return {@link #ADMIT}, or for how long the caller is asked not to retry, in milliseconds
      */
     long decide(double now, int rank, long sender, Load load);
 
-    /** What a front says of itself; written by its loop, read by whoever admits. */
+    /** The load of a front; written by its loop's thread, read by the threads that decide on admission. */
     interface Load {
-        /** Calls of this rank and of the dearer ones that are queued before the loop. */
+        /** Returns the number of calls of this rank and of higher ones that are queued for the loop. */
         int queuedAtOrAbove(int rank);
 
-        /** What a call has cost the loop lately, in milliseconds, all its work counted. */
+        /** Returns the time that the loop has recently spent per call, in milliseconds, including all its work. */
         double costPerCallMs();
 
-        /** How long the loop has not turned although calls are queued, in milliseconds. */
+        /** Returns for how long the loop has not run although calls are queued, in milliseconds. */
         double loopPauseMs(double now);
 
         /**
-         * Pressure of memory, tables and held calls as a call of this rank meets it, in ranks: 0 at the first onset,
+         * Returns the pressure of memory, tables and held calls on a call of this rank, in ranks: 0 at the first onset,
          * the number of ranks at the ceiling.
          */
         double pressure(int rank);
--- a/src/main/java/damsonseam/overload/CongestionLevels.java
+++ b/src/main/java/damsonseam/overload/CongestionLevels.java
@@ -3,61 +3,63 @@
 import java.util.Arrays;
 
 /**
- * Onset, abatement and discard levels per rank of worth, as the paper has them for a link's buffer: pressure is
- * counted in ranks, so that the onset of rank r is T(r) = r and its discard level is the next one's onset, D(r) =
- * r + 1. A rank is stopped in part from its onset on, the more the nearer its discard level, and wholly past that;
- * once stopped it stays so, in part, until pressure is under its abatement level, half a rank below the onset.
+ * Congestion onset, abatement and discard levels for each rank of worth, as the paper defines them for the transmit
+ * buffer of a signalling link. Pressure is measured in ranks: the onset of rank r is T(r) = r, and its discard level is
+ * the onset of the next rank, D(r) = r + 1. Above its onset, a rank has a share of its calls refused that grows towards
+ * the discard level, above which all are refused. Once started, refusals continue until the pressure falls below the
+ * abatement level, half a rank below the onset. Not thread-safe.
  *
- * <p>The share between the levels is what keeps the front from swinging: pressure is a queue, and a queue under a
- * proportional answer settles. The abatement level keeps a pressure that rests near an onset from switching it on and
- * off with every call.
+ * <p>The proportional share between the levels prevents oscillation: the pressure stems from a queue, and a queue under
+ * proportional control settles. The abatement level adds hysteresis, so that a pressure close to an onset does not
+ * start and stop refusals with every call.
  */
 public final class CongestionLevels {
-    /** How far under its onset a rank's abatement level lies, in ranks. */
+    /** Distance of a rank's abatement level below its onset, in ranks. */
     static final double ABATEMENT = 0.5;
 
-    private final boolean[] isRefusing;
+    private final boolean[] refusing;
     private long onsetCount;
 
-    /** Levels of so many ranks, none stopped. */
+    /** Creates levels for the given number of ranks, none of which is refusing. */
     public CongestionLevels(int ranks) {
-        isRefusing = new boolean[ranks];
+        refusing = new boolean[ranks];
     }
 
     /**
-     * The share of a rank's calls to refuse at this pressure, 0 to 1.
+     * Returns the share of a rank's calls to refuse at this pressure, 0 to 1, and updates the state of the rank.
      *
-     * @param rank 0 for the least worth
-     * @param pressure in ranks: 0 at the first onset, the number of ranks at the ceiling
+     * @param rank rank of worth, 0 for the lowest
+     * @param pressure pressure in ranks: 0 at the first onset, the number of ranks at the ceiling
      */
     public double refusalShare(int rank, double pressure) {
-        double abatement = rank - ABATEMENT;
-        if (isRefusing[rank]) {
-            isRefusing[rank] = pressure >= abatement;
+        double abatementLevel = rank - ABATEMENT;
+        if (refusing[rank]) {
+            refusing[rank] = pressure >= abatementLevel;
         } else if (pressure >= rank) {
-            isRefusing[rank] = true;
+            refusing[rank] = true;
             onsetCount++;
         }
-        return isRefusing[rank] ? Math.min(1, (pressure - abatement) / (1 + ABATEMENT)) : 0;
+        return refusing[rank] ? Math.min(1, (pressure - abatementLevel) / (1 + ABATEMENT)) : 0;
     }
 
     /**
-     * The share to refuse of what is above a sender's fair share: it begins at the abatement level of the cheapest
-     * rank and is all at that rank's onset, so that such calls fill what room there is and are gone before anybody
-     * else is asked to go.
+     * Returns the share of the calls above a sender's fair share to refuse, 0 to 1. It rises from 0 at the abatement
+     * level of the lowest rank to 1 at that rank's onset, so that such calls may use spare capacity but are all refused
+     * before any other call is.
      */
     public static double surplusRefusalShare(double pressure) {
         return Math.max(0, Math.min(1, (pressure + ABATEMENT) / ABATEMENT));
     }
 
-    /** Whether this rank is stopped, wholly or in part. */
+    /** Returns whether some or all calls of this rank are being refused. */
     public boolean isRefusing(int rank) {
-        return isRefusing[rank];
+        return refusing[rank];
     }
 
     /**
-     * Pressure in ranks of a value: 0 at its onset, the number of ranks at its ceiling, and at its abatement level the
-     * abatement of rank 0. Each resource has its own, as a wait ends at nothing and a heap does not.
+     * Converts a measured value to pressure in ranks: 0 at its onset, the number of ranks at its ceiling, and minus
+     * {@link #ABATEMENT} at its abatement level. The abatement level is specific to the resource, since a wait can fall
+     * to zero whereas heap usage cannot.
      */
     static double pressure(double value, double abatement, double onset, double ceiling, int ranks) {
         return value < onset
@@ -65,28 +67,31 @@
                 : (value - onset) / (ceiling - onset) * ranks;
     }
 
-    /** The same for a resource that is in use at all times: its abatement level is half a span under its onset. */
+    /**
+     * Converts a value of a resource that is never idle to pressure; its abatement level lies below its onset by half
+     * the distance from onset to ceiling.
+     */
     static double pressure(double value, double onset, double ceiling, int ranks) {
         return pressure(value, onset - ABATEMENT * (ceiling - onset), onset, ceiling, ranks);
     }
 
-    /** Whether any rank is stopped, wholly or in part. */
+    /** Returns whether calls of any rank are being refused. */
     public boolean isAnyRefusing() {
-        for (boolean s : isRefusing) {
-            if (s) {
+        for (boolean rankRefusing : refusing) {
+            if (rankRefusing) {
                 return true;
             }
         }
         return false;
     }
 
-    /** How often a rank was stopped. */
+    /** Returns how often refusals of a rank have started. */
     public long onsetCount() {
         return onsetCount;
     }
 
     @Override
     public String toString() {
-        return Arrays.toString(isRefusing);
+        return Arrays.toString(refusing);
     }
 }
--- a/src/main/java/damsonseam/overload/DecisionCache.java
+++ b/src/main/java/damsonseam/overload/DecisionCache.java
@@ -3,81 +3,82 @@
 import org.agrona.collections.Long2LongHashMap;
 
 /**
- * What was decided for each question lately, by its fingerprint: a question sent again must get the same answer, and
- * one whose call is open must never be refused. Two generations, so that forgetting costs nothing: each is kept for
- * at least the given time unless the limit is reached first; then the older one goes early.
+ * Caches recent admission decisions by the fingerprint of the request, so that a retransmitted request gets the same
+ * answer and one whose call is open is never refused. Entries are kept in two generations, which makes eviction cheap:
+ * an entry is kept for at least the retention time, unless the size limit is reached first and the older generation is
+ * evicted early. Not thread-safe.
  */
 public final class DecisionCache {
-    /** Nothing is known of the question. */
+    /** No decision is cached for the request. */
     public static final long UNKNOWN = -2;
-    /** The question was handed on to the front's core. */
+    /** The request was admitted and passed to the front's core. */
     public static final long ADMITTED = -1;
 
-    private static final float FILL = 0.6f;
-    private static final int FIRST = 1 << 10;
+    private static final float LOAD_FACTOR = 0.6f;
+    private static final int INITIAL_CAPACITY = 1 << 10;
 
-    private final double keep;
+    private final double retentionMs;
     private final int limit;
-    private Long2LongHashMap young = map();
-    private Long2LongHashMap old = map();
-    private double turnAt;
+    private Long2LongHashMap young = newGeneration();
+    private Long2LongHashMap old = newGeneration();
+    private double rotateAt;
     private long earlyEvictions;
 
     /**
-     * An empty memory.
+     * Creates an empty cache.
      *
-     * @param keep milliseconds for which what was decided must be known
-     * @param limit questions in each of the two generations at most
+     * @param retentionMs minimum time for which a decision is kept, in milliseconds
+     * @param limit maximum number of decisions in each of the two generations
      */
-    public DecisionCache(double keep, int limit) {
-        this.keep = keep;
+    public DecisionCache(double retentionMs, int limit) {
+        this.retentionMs = retentionMs;
         this.limit = limit;
-        turnAt = Double.NaN;
+        rotateAt = Double.NaN;
     }
 
-    private static Long2LongHashMap map() {
-        return new Long2LongHashMap(FIRST, FILL, UNKNOWN, false);
+    private static Long2LongHashMap newGeneration() {
+        return new Long2LongHashMap(INITIAL_CAPACITY, LOAD_FACTOR, UNKNOWN, false);
     }
 
-    /** What was decided: {@link #UNKNOWN}, {@link #ADMITTED}, or the advice given with a refusal in milliseconds. */
+    /** Returns {@link #UNKNOWN}, {@link #ADMITTED}, or the retry advice of a refusal in milliseconds. */
     public long find(long fingerprint, double now) {
-        turn(now);
-        long known = young.get(fingerprint);
-        return known != UNKNOWN ? known : old.get(fingerprint);
+        rotateIfDue(now);
+        long decision = young.get(fingerprint);
+        return decision != UNKNOWN ? decision : old.get(fingerprint);
     }
 
-    /** Keeps what was decided. */
-    public void put(long fingerprint, long decided, double now) {
+    /** Stores a decision. */
+    public void put(long fingerprint, long decision, double now) {
         if (young.size() >= limit) {
             earlyEvictions += old.size();
-            swap(now);
+            rotate(now);
         }
-        young.put(fingerprint, decided);
+        young.put(fingerprint, decision);
     }
 
-    private void turn(double now) {
-        if (Double.isNaN(turnAt)) {
-            turnAt = now + keep;
-        } else if (now >= turnAt + keep) {
-            old = map();
-            swap(now);
-        } else if (now >= turnAt) {
-            swap(now);
+    private void rotateIfDue(double now) {
+        if (Double.isNaN(rotateAt)) {
+            rotateAt = now + retentionMs;
+        } else if (now >= rotateAt + retentionMs) {
+            old = newGeneration();
+            rotate(now);
+        } else if (now >= rotateAt) {
+            rotate(now);
         }
     }
 
-    private void swap(double now) {
+    private void rotate(double now) {
         old = young;
-        young = map();
-        turnAt = now + keep;
+        young = newGeneration();
+        rotateAt = now + retentionMs;
     }
 
-    /** Questions kept. */
+    /** Returns the number of cached decisions. */
     public int size() {
         return young.size() + old.size();
     }
 
-    /** Questions that were forgotten before their time for want of room. */
+    /** Returns the number of decisions evicted before their retention time because the cache was full. */
     public long earlyEvictions() {
         return earlyEvictions;
     }
--- a/src/main/java/damsonseam/overload/DelayDiagnosis.java
+++ b/src/main/java/damsonseam/overload/DelayDiagnosis.java
@@ -1,32 +1,32 @@
 package damsonseam.overload;
 
 /**
- * Tells why a front was late: its own work, the collector, the machine, or nobody but those it waits for. Guards
- * against the one symptom, answers that come late, being taken for the front's own load whatever is behind it.
+ * Determines why a front is late: its own work, the garbage collector, the machine, or the peers it waits for. All of
+ * them show the same symptom, late answers, which must not be taken for the front's own load in every case.
  */
 public final class DelayDiagnosis {
 
-    /** Why answers are late. */
+    /** The causes of late answers. */
     public enum Cause {
-        /** They are not. */
+        /** Answers are not late. */
         CALM,
         /** The loop was busy with its own work. */
         OWN_WORK,
-        /** The collector had stopped the program. */
+        /** The garbage collector had paused the process. */
         COLLECTOR,
-        /** The loop was ready and did not run: stopped, swapped, or the processor was somebody else's. */
+        /** The loop was ready but did not run: suspended, swapped out, or preempted by other processes. */
         MACHINE,
-        /** The loop is in time; authorities or calculators are not. */
+        /** The loop is on time, but authoritative servers or calculators are not. */
         UPSTREAM
     }
 
     /**
-     * What was seen over one window.
+     * Measurements over one time window.
      *
-     * @param maxDelayMs longest time by which the loop was late, in milliseconds
-     * @param loopCpuMs processor time that the loop's thread got, in milliseconds
-     * @param collectorPauseMs time for which the collector stopped the program, in milliseconds
-     * @param lateUpstreamShare share of look-ups and set-ups answered late or not at all, 0 to 1
+     * @param maxDelayMs maximum delay of the loop, in milliseconds
+     * @param loopCpuMs CPU time of the loop's thread, in milliseconds
+     * @param collectorPauseMs total time of garbage-collection pauses, in milliseconds
+     * @param lateUpstreamShare share of upstream requests answered late or not at all, 0 to 1
      */
     public record Window(double maxDelayMs, double loopCpuMs, double collectorPauseMs, double lateUpstreamShare) {}
 
@@ -34,14 +34,18 @@
 
     private DelayDiagnosis() {}
 
-    /** The cause, for a front whose loop counts as late from {@code onset} milliseconds on. */
-    public static Cause diagnose(Window seen, double onset) {
-        if (seen.maxDelayMs() < onset) {
-            return seen.lateUpstreamShare() > HALF ? Cause.UPSTREAM : Cause.CALM;
+    /**
+     * Returns the cause that the measurements of a window point to.
+     *
+     * @param onset delay from which the loop counts as late, in milliseconds
+     */
+    public static Cause diagnose(Window window, double onset) {
+        if (window.maxDelayMs() < onset) {
+            return window.lateUpstreamShare() > HALF ? Cause.UPSTREAM : Cause.CALM;
         }
-        if (seen.collectorPauseMs() >= HALF * seen.maxDelayMs()) {
+        if (window.collectorPauseMs() >= HALF * window.maxDelayMs()) {
             return Cause.COLLECTOR;
         }
-        return seen.loopCpuMs() >= HALF * seen.maxDelayMs() ? Cause.OWN_WORK : Cause.MACHINE;
+        return window.loopCpuMs() >= HALF * window.maxDelayMs() ? Cause.OWN_WORK : Cause.MACHINE;
     }
 }
--- a/src/main/java/damsonseam/overload/HeavySenderDetector.java
+++ b/src/main/java/damsonseam/overload/HeavySenderDetector.java
@@ -4,94 +4,94 @@
 import org.apache.datasketches.hll.HllSketch;
 
 /**
- * Who asks far more than the others. Two windows of half a second, each with a sketch of the heaviest senders
- * (Misra and Gries, as DataSketches has it: the least that a sender can have asked is known, so that no innocent one
- * is taken for heavy) and one of how many senders there are (HyperLogLog). Memory is the same for ten senders and
- * for ten million.
+ * Detects senders whose request rate far exceeds that of the others. Two windows of half a second each hold a
+ * frequent-items sketch (Misra-Gries, as implemented by DataSketches) and a HyperLogLog sketch of the number of
+ * senders. The frequent-items sketch gives a lower bound of a sender's requests, so that no sender is considered heavy
+ * by mistake. Memory use does not depend on the number of senders. Not thread-safe.
  *
- * <p>A fair share is all that was asked over the number of senders that asked. One sender alone is the only one there
- * is and asks its fair share, whatever that is: a front behind one resolver is not split by this.
+ * <p>The fair share is the number of requests divided by the number of senders. A single sender therefore never exceeds
+ * its fair share, and a front whose requests all come from one resolver is not affected.
  */
 public final class HeavySenderDetector {
-    private static final double WINDOW = 500;
-    private static final int HEAVIEST = 256;
+    private static final double WINDOW_MS = 500;
+    private static final int MAX_SKETCH_ENTRIES = 256;
     private static final int LG_K = 10;
-    private static final int NETWORK_OCTETS = 8;
-    /** Questions before a window says anything: shares of a handful are chance. */
-    private static final long FEWEST = 64;
+    private static final int NETWORK_BYTES = 8;
+    /** Minimum number of requests in a window for it to be evaluated; shares of fewer are due to chance. */
+    private static final long MIN_REQUESTS = 64;
 
     private final double multiple;
-    private Window now;
-    private Window last;
-    private double turnAt = Double.NaN;
+    private Window current;
+    private Window previous;
+    private double windowEnd = Double.NaN;
 
     private static final class Window {
-        final LongsSketch heaviest = new LongsSketch(HEAVIEST);
+        final LongsSketch heaviest = new LongsSketch(MAX_SKETCH_ENTRIES);
         final HllSketch senders = new HllSketch(LG_K);
-        long asked;
+        long requests;
         double fairShare = Double.NaN;
 
-        /** The fair share of the window that has ended, in questions. */
-        double fair() {
+        /** Returns the fair share of a completed window, in requests. */
+        double fairShare() {
             if (Double.isNaN(fairShare)) {
-                fairShare = asked / Math.max(1, senders.getEstimate());
+                fairShare = requests / Math.max(1, senders.getEstimate());
             }
             return fairShare;
         }
     }
 
-    /** Senders above {@code multiple} fair shares are heavy. */
+    /** Creates a detector that considers senders above {@code multiple} fair shares heavy. */
     public HeavySenderDetector(double multiple) {
         this.multiple = multiple;
-        now = new Window();
-        last = new Window();
+        current = new Window();
+        previous = new Window();
     }
 
     /**
-     * The sender that an address counts as: an IPv4 address, or the first 64 bits of an IPv6 one, as whoever has one
-     * address of such a network has them all.
+     * Returns the key of the sender to which an address is attributed: the whole IPv4 address, or the first 64 bits of
+     * an IPv6 address, since a sender usually controls all addresses of such a network.
      */
     public static long senderKey(byte[] address) {
-        return hash(address, Math.min(address.length, NETWORK_OCTETS));
+        return hash(address, Math.min(address.length, NETWORK_BYTES));
     }
 
-    /** A hash of a whole address, as FNV-1a mixes it. */
+    /** Returns the FNV-1a hash of a whole address. */
     public static long hash(byte[] address) {
         return hash(address, address.length);
     }
 
-    private static long hash(byte[] octets, int length) {
+    private static long hash(byte[] bytes, int length) {
         long h = 0xcbf29ce484222325L;
         for (int i = 0; i < length; i++) {
-            h = (h ^ octets[i] & 0xff) * 0x100000001b3L;
+            h = (h ^ bytes[i] & 0xff) * 0x100000001b3L;
         }
         return h;
     }
 
-    /** A sender, by a hash of its address, asks. */
-    public void recordRequest(double at, long sender) {
-        if (Double.isNaN(turnAt) || at >= turnAt) {
-            last = !Double.isNaN(turnAt) && at < turnAt + WINDOW ? now : new Window();
-            now = new Window();
-            turnAt = at + WINDOW;
+    /** Records a request of a sender, identified by {@link #senderKey}. */
+    public void recordRequest(double now, long sender) {
+        if (Double.isNaN(windowEnd) || now >= windowEnd) {
+            previous = !Double.isNaN(windowEnd) && now < windowEnd + WINDOW_MS ? current : new Window();
+            current = new Window();
+            windowEnd = now + WINDOW_MS;
         }
-        now.heaviest.update(sender);
-        now.senders.update(sender);
-        now.asked++;
+        current.heaviest.update(sender);
+        current.senders.update(sender);
+        current.requests++;
     }
 
     /**
-     * The share of what this sender asks that is above what it may fairly ask, 0 to 1, by the last whole window. A
-     * sender that begins to flood is seen half a second later; until then all pay, by worth.
+     * Returns the share of a sender's requests above its allowance, 0 to 1, in the last complete window. A flood is
+     * therefore detected with a delay of half a second; until then, all senders' calls are refused by worth.
      *
-     * @param tight whether one fair share is all there is, and not several
+     * @param tight whether the allowance is a single fair share instead of the configured multiple
      */
     public double surplusShare(long sender, boolean tight) {
-        if (last.asked < FEWEST) {
+        if (previous.requests < MIN_REQUESTS) {
             return 0;
         }
-        double may = (tight ? 1 : multiple) * last.fair();
-        double did = last.heaviest.getLowerBound(sender);
-        return did <= may ? 0 : 1 - may / did;
+        double allowance = (tight ? 1 : multiple) * previous.fairShare();
+        double requests = previous.heaviest.getLowerBound(sender);
+        return requests <= allowance ? 0 : 1 - allowance / requests;
     }
 }
--- a/src/main/java/damsonseam/overload/HeldCallLimit.java
+++ b/src/main/java/damsonseam/overload/HeldCallLimit.java
@@ -1,53 +1,62 @@
 package damsonseam.overload;
 
 /**
- * How many unanswered calls the front can hold without its own work on them making it late. What a moment of the
- * decision module costs grows with the calls it holds, by how much depends on the machine, the servers and what goes
- * wrong: it is learnt. A moment longer than the target says at once how many would have been right; room grows back
- * slowly while the held calls come near it and moments stay short.
+ * Adaptive limit of the unanswered calls that the front can hold without its own work on them delaying it. The time
+ * that the decision module takes for a batch grows with the calls it holds, at a rate that depends on the machine, the
+ * servers and the current faults, so the limit is learned. A batch above the target time lowers the limit at once, in
+ * proportion. The limit recovers slowly while the number of held calls approaches it and batches remain short. Not
+ * thread-safe.
  *
- * <p>Guards against a front that takes calls faster than they are answered, whatever the reason, until it spends all
- * its time walking over those that wait: answers are then read late, servers seem slower than they are, more calls
- * wait, and nothing leads back out of it.
+ * <p>Without the limit, a front that accepts calls faster than they are answered ends up spending all its time on
+ * scanning the held ones. Answers are then read late, servers appear slower than they are, more calls are held, and the
+ * front does not recover.
  */
 public final class HeldCallLimit {
-    private static final double TARGET = 8;
-    private static final double LEAST = 1_000;
-    private static final double GROWS_A_SECOND = 0.5;
-    /** A moment that follows a stop, or is the first of its kind, is no measure: one alone takes little away. */
-    private static final double LEAST_CUT = 0.7;
+    /** Duration of a batch above which the limit is lowered. */
+    private static final double TARGET_BATCH_MS = 8;
 
-    private static final double NEAR = 0.7;
-    private static final double SECOND = 1_000;
+    private static final double MIN_LIMIT = 1_000;
+    private static final double GROWTH_PER_SECOND = 0.5;
+    /** Lower bound of a single decrease: one batch may be long for other reasons, such as a pause or a cold start. */
+    private static final double MIN_DECREASE_FACTOR = 0.7;
+    /** Share of the limit that must be in use for the limit to grow. */
+    private static final double GROWTH_USAGE = 0.7;
 
-    private final double most;
+    private static final double MS_PER_SECOND = 1_000;
+
+    private final double maxLimit;
     private double limit;
-    private double lookedAt = Double.NaN;
+    private double lastBatchAt = Double.NaN;
 
-    /** Room for at most so many; it starts with all of it. */
-    public HeldCallLimit(int most) {
-        this.most = Math.max(LEAST, most);
-        limit = this.most;
+    /** Creates a limit that starts at its maximum. */
+    public HeldCallLimit(int maxLimit) {
+        this.maxLimit = Math.max(MIN_LIMIT, maxLimit);
+        limit = this.maxLimit;
     }
 
-    /** A moment took so long, in milliseconds, with so many calls unanswered. */
-    public void recordBatch(double now, double ms, int held) {
-        double passed = Double.isNaN(lookedAt) ? 0 : Math.max(0, now - lookedAt);
-        lookedAt = now;
-        if (ms > TARGET && held > LEAST) {
-            double right = Math.min(limit, held) * Math.max(LEAST_CUT, TARGET / ms);
-            limit = Math.max(LEAST, Math.min(limit, right));
-        } else if (held > NEAR * limit) {
-            limit = Math.min(most, limit * (1 + GROWS_A_SECOND * Math.min(1, passed / SECOND)));
+    /**
+     * Records a batch and adjusts the limit.
+     *
+     * @param durationMs time that the batch took, in milliseconds
+     * @param held number of unanswered calls
+     */
+    public void recordBatch(double now, double durationMs, int held) {
+        double elapsed = Double.isNaN(lastBatchAt) ? 0 : Math.max(0, now - lastBatchAt);
+        lastBatchAt = now;
+        if (durationMs > TARGET_BATCH_MS && held > MIN_LIMIT) {
+            double sustainable = Math.min(limit, held) * Math.max(MIN_DECREASE_FACTOR, TARGET_BATCH_MS / durationMs);
+            limit = Math.max(MIN_LIMIT, Math.min(limit, sustainable));
+        } else if (held > GROWTH_USAGE * limit) {
+            limit = Math.min(maxLimit, limit * (1 + GROWTH_PER_SECOND * Math.min(1, elapsed / MS_PER_SECOND)));
         }
     }
 
-    /** Unanswered calls from which on the cheapest are refused. */
+    /** Returns the number of unanswered calls above which calls of the lowest rank are refused. */
     public double limit() {
         return limit;
     }
 
-    /** Pressure in ranks: 0 with the room full, the number of ranks at twice that. */
+    /** Returns the pressure in ranks: 0 at the limit, the number of ranks at twice the limit. */
     public double pressure(int held, int ranks) {
         return CongestionLevels.pressure(held, limit, 2 * limit, ranks);
     }
--- a/src/main/java/damsonseam/overload/LevelAdmissionController.java
+++ b/src/main/java/damsonseam/overload/LevelAdmissionController.java
@@ -3,97 +3,99 @@
 import java.util.SplittableRandom;
 
 /**
- * Whether a call is taken, decided before anything is spent on it. One gate serves one thread. What it weighs is the
- * wait that a call of this rank would meet, foreseen from what is queued before it and from what a call has cost
- * lately, and the pressure on memory and tables; see {@link CongestionLevels} for what follows from it.
+ * Admission control by congestion levels for each rank of worth. It compares the expected wait of a call, estimated
+ * from the queue ahead of it and the recent cost of a call, and the pressure on memory and tables with the levels of
+ * {@link CongestionLevels}. Not thread-safe: each thread uses an instance of its own.
  *
- * <p>The queue is served by worth, so a call waits for those of its own rank and the dearer ones only. Its wait never
- * grows with its rank while the levels do: whatever the pressure, no call is refused while a cheaper one is taken.
- * The one exception is a sender that asks far more than the others: what is above its fair share goes before the
- * cheapest, whatever it claims to be.
+ * <p>The queue is served in order of worth, so a call waits only for calls of its own and higher ranks. The expected
+ * wait does not increase with the rank, whereas the levels do, so no call is refused while a lower-worth one is
+ * admitted. The only exception concerns a sender whose request rate far exceeds that of the others: its calls above the
+ * fair share are refused first, whatever rank they claim.
  */
 public final class LevelAdmissionController implements AdmissionController {
-    /** Shortest advice, in milliseconds. */
-    private static final double SHORTEST = 100;
-    /** Overload is over when nothing was refused for so long; advice starts short again. */
-    private static final double OVER = 1_000;
-    /** How much longer than the rank below it a rank waits for a loop that stands still. */
-    private static final double PATIENCE = 4;
+    /** Minimum of the overload duration on which the retry advice is based. */
+    private static final double MIN_RETRY_AFTER_MS = 100;
+    /** Time without a refusal after which an overload has ended; retry advice then starts short again. */
+    private static final double OVERLOAD_END_MS = 1_000;
+    /** Factor by which each rank tolerates a longer pause of the loop than the rank below it. */
+    private static final double PAUSE_TOLERANCE_FACTOR = 4;
 
     private final OverloadSettings settings;
     private final int ranks;
     private final CongestionLevels levels;
     private final HeavySenderDetector senders;
     private final SplittableRandom random;
-    private final double[] owed;
+    private final double[] refusalDebt;
     private double overloadedSince = Double.NaN;
-    private double refusedAt = Double.NEGATIVE_INFINITY;
-    private double owedOfSurplus;
+    private double lastRefusalAt = Double.NEGATIVE_INFINITY;
+    private double surplusDebt;
     private long surplusRefusals;
 
-    /** A gate for calls of so many ranks. */
+    /** Creates a controller for calls of the given number of ranks. */
     public LevelAdmissionController(OverloadSettings settings, int ranks, long seed) {
         this.settings = settings;
         this.ranks = ranks;
         levels = new CongestionLevels(ranks);
         senders = new HeavySenderDetector(settings.fairMultiple());
         random = new SplittableRandom(seed);
-        owed = new double[ranks];
+        refusalDebt = new double[ranks];
     }
 
     @Override
     public long decide(double now, int rank, long sender, Load load) {
         senders.recordRequest(now, sender);
-        double cheapest = pressure(now, 0, load);
-        double ofSurplus = CongestionLevels.surplusRefusalShare(cheapest);
-        if (ofSurplus > 0 && random.nextDouble() < senders.surplusShare(sender, levels.isRefusing(rank))) {
-            owedOfSurplus += ofSurplus;
-            if (owedOfSurplus >= 1) {
-                owedOfSurplus -= 1;
+        double lowestRankPressure = pressure(now, 0, load);
+        double surplusRefusalShare = CongestionLevels.surplusRefusalShare(lowestRankPressure);
+        if (surplusRefusalShare > 0 && random.nextDouble() < senders.surplusShare(sender, levels.isRefusing(rank))) {
+            surplusDebt += surplusRefusalShare;
+            if (surplusDebt >= 1) {
+                surplusDebt -= 1;
                 surplusRefusals++;
                 return retryAfterMs(now);
             }
         }
-        double share = levels.refusalShare(rank, rank == 0 ? cheapest : pressure(now, rank, load));
-        // Refusals of a rank are spread evenly over its calls: as many as are owed, and no run by chance.
-        owed[rank] = share == 0 ? 0 : owed[rank] + share;
-        if (owed[rank] < 1) {
+        double refusalShare = levels.refusalShare(rank, rank == 0 ? lowestRankPressure : pressure(now, rank, load));
+        // Accumulates the share to refuse, so that refusals are spread evenly over the calls of a rank.
+        refusalDebt[rank] = refusalShare == 0 ? 0 : refusalDebt[rank] + refusalShare;
+        if (refusalDebt[rank] < 1) {
             return ADMIT;
         }
-        owed[rank] -= 1;
+        refusalDebt[rank] -= 1;
         return retryAfterMs(now);
     }
 
     private double pressure(double now, int rank, Load load) {
-        double standing = load.loopPauseMs(now);
-        // When a loop that stands still will turn again nobody knows; who is worth more waits longer for it.
-        double wait = load.queuedAtOrAbove(rank) * load.costPerCallMs() + standing / Math.pow(PATIENCE, rank);
-        double delay = CongestionLevels.pressure(
+        double pause = load.loopPauseMs(now);
+        // The remaining length of a pause is unknown; calls of higher worth are admitted longer into it.
+        double wait =
+                load.queuedAtOrAbove(rank) * load.costPerCallMs() + pause / Math.pow(PAUSE_TOLERANCE_FACTOR, rank);
+        double delayPressure = CongestionLevels.pressure(
                 wait, settings.delayOnset() / 2, settings.delayOnset(), settings.delayCeiling(), ranks);
-        return Math.max(delay, load.pressure(rank));
+        return Math.max(delayPressure, load.pressure(rank));
     }
 
     /**
-     * Callers are asked to stay away for about as long as the overload has lasted, as what has lasted long will last
-     * for some time more, and each for another time, so that they don't come back together.
+     * Returns for how long a refused caller is asked not to retry: about as long as the overload has lasted, since a
+     * long overload is likely to continue for some time. The advice is randomized so that callers do not return
+     * together.
      */
     private long retryAfterMs(double now) {
-        if (now > refusedAt + OVER) {
+        if (now > lastRefusalAt + OVERLOAD_END_MS) {
             overloadedSince = now;
         }
-        refusedAt = now;
-        double longest = settings.maxRetryAfterMs();
-        double middle = Math.max(SHORTEST, now - overloadedSince);
-        double advice = Math.min(longest, middle) * (0.5 + random.nextDouble());
-        return Math.round(Math.min(longest, advice));
+        lastRefusalAt = now;
+        double max = settings.maxRetryAfterMs();
+        double mean = Math.max(MIN_RETRY_AFTER_MS, now - overloadedSince);
+        double advice = Math.min(max, mean) * (0.5 + random.nextDouble());
+        return Math.round(Math.min(max, advice));
     }
 
-    /** Calls refused since their sender asked far more than the others. */
+    /** Returns the number of calls refused because their sender exceeded its fair share. */
     public long surplusRefusals() {
         return surplusRefusals;
     }
 
-    /** How often a rank was stopped. */
+    /** Returns how often refusals of a rank have started. */
     public long onsetCount() {
         return levels.onsetCount();
     }
--- a/src/main/java/damsonseam/overload/LoopDelayGauge.java
+++ b/src/main/java/damsonseam/overload/LoopDelayGauge.java
@@ -3,56 +3,58 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How late a loop turns: the time between when a beat was due and when it came, over the whole run and since the last
- * look. A beat that is late by more than its own period stands for those that it swallowed as well, so that one stop
- * of two seconds is not one sample among thousands (coordinated omission).
+ * Measures the delay of a loop's ticks, that is, the time between when a tick was due and when it ran. It keeps a
+ * histogram of all delays and the maximum since it was last taken. A delay longer than the period is also recorded for
+ * the ticks it suppressed, so that a pause of two seconds is not a single sample among thousands (coordinated
+ * omission). Not thread-safe.
  */
 public final class LoopDelayGauge {
-    private static final long MOST_US = 60_000_000L;
-    private static final int DIGITS = 2;
-    private static final double US = 1_000;
+    private static final long MAX_RECORDED_US = 60_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 2;
+    private static final double US_PER_MS = 1_000;
 
-    private final double period;
-    private final Histogram all = new Histogram(MOST_US, DIGITS);
+    private final double periodMs;
+    private final Histogram delays = new Histogram(MAX_RECORDED_US, SIGNIFICANT_DIGITS);
     private double dueAt = Double.NaN;
-    private double longest;
+    private double maxDelay;
 
-    /** A gauge of a loop that beats each {@code period} milliseconds. */
-    public LoopDelayGauge(double period) {
-        this.period = period;
+    /** Creates a gauge for a loop that ticks every {@code periodMs}. */
+    public LoopDelayGauge(double periodMs) {
+        this.periodMs = periodMs;
     }
 
-    /** A beat came; the next one is due a period later. Returns by how much it was late, in milliseconds. */
+    /** Records a tick and returns its delay in milliseconds; the next tick is due one period later. */
     public double recordTick(double now) {
-        double late = Double.isNaN(dueAt) ? 0 : Math.max(0, now - dueAt);
+        double delay = Double.isNaN(dueAt) ? 0 : Math.max(0, now - dueAt);
         if (!Double.isNaN(dueAt)) {
-            all.recordValueWithExpectedInterval(Math.min(MOST_US, (long) (late * US)), (long) (period * US));
-            longest = Math.max(longest, late);
+            delays.recordValueWithExpectedInterval(
+                    Math.min(MAX_RECORDED_US, (long) (delay * US_PER_MS)), (long) (periodMs * US_PER_MS));
+            maxDelay = Math.max(maxDelay, delay);
         }
-        dueAt = now + period;
-        return late;
+        dueAt = now + periodMs;
+        return delay;
     }
 
-    /** The longest delay since the last look. */
+    /** Returns the maximum delay since the last invocation, in milliseconds, and resets it. */
     public double takeMaxDelayMs() {
-        double was = longest;
-        longest = 0;
-        return was;
+        double max = maxDelay;
+        maxDelay = 0;
+        return max;
     }
 
-    /** A percentile of all delays, in milliseconds. */
-    public double percentileMs(double p) {
-        return all.getValueAtPercentile(p) / US;
+    /** Returns a percentile of all recorded delays, in milliseconds. */
+    public double percentileMs(double percentile) {
+        return delays.getValueAtPercentile(percentile) / US_PER_MS;
     }
 
-    /** The longest delay of all, in milliseconds. */
+    /** Returns the maximum of all recorded delays, in milliseconds. */
     public double maxDelayMs() {
-        return all.getMaxValue() / US;
+        return delays.getMaxValue() / US_PER_MS;
     }
 
-    /** Forgets what was, as at the end of a warm-up. */
+    /** Discards all recorded delays, for example after a warm-up. */
     public void reset() {
-        all.reset();
-        longest = 0;
+        delays.reset();
+        maxDelay = 0;
     }
 }
--- a/src/main/java/damsonseam/overload/MemoryMonitor.java
+++ b/src/main/java/damsonseam/overload/MemoryMonitor.java
@@ -1,73 +1,80 @@
 package damsonseam.overload;
 
 /**
- * Memory as the collector leaves it, and what follows from it. A collection of the young leaves garbage among the
- * old, so one sample says little: the least of the last ten seconds counts. Caches go first, down to a tenth of their
- * room; calls only from the onset on, by worth. A climb is foreseen, so that caches go before the onset is reached.
+ * Monitors the heap usage that remains after garbage collections and derives from it the pressure on calls and the
+ * permitted size of caches. A young collection leaves garbage in the old generation, so a single sample means little;
+ * the minimum over the last five to ten seconds is used. Caches are reduced first, down to a tenth of their
+ * capacity; calls are refused by worth only above the onset. Rising usage is extrapolated so that caches shrink before
+ * the onset is reached. Not thread-safe.
  */
 public final class MemoryMonitor {
-    private static final double WINDOW = 5_000;
-    private static final double SMOOTH = 20_000;
-    private static final double LEAST_CACHE = 0.1;
-    private static final double CACHE_GROWS_OVER = 60_000;
+    private static final double WINDOW_MS = 5_000;
+    private static final double SMOOTHING_MS = 20_000;
+    private static final double MIN_CACHE_SHARE = 0.1;
+    /** Time over which the permitted cache size recovers from zero to full. */
+    private static final double CACHE_RECOVERY_MS = 60_000;
 
     private final OverloadSettings settings;
-    private final TrendForecast forecast = new TrendForecast(SMOOTH);
-    private double least = Double.NaN;
-    private double leastBefore = Double.NaN;
+    private final TrendForecast forecast = new TrendForecast(SMOOTHING_MS);
+    private double windowMin = Double.NaN;
+    private double previousWindowMin = Double.NaN;
     private double windowEnd = Double.NaN;
-    private double cache = 1;
-    private double cacheAt = Double.NaN;
+    private double cacheShare = 1;
+    private double cacheUpdatedAt = Double.NaN;
 
-    /** A watch that has seen nothing. */
+    /** Creates a monitor without samples. */
     public MemoryMonitor(OverloadSettings settings) {
         this.settings = settings;
     }
 
-    /** A collection has left this share of the heap in use. */
+    /** Records the share of the heap in use after a collection. */
     public void recordCollection(double now, double share) {
         if (Double.isNaN(windowEnd)) {
-            windowEnd = now + WINDOW;
+            windowEnd = now + WINDOW_MS;
         }
         if (now >= windowEnd) {
-            leastBefore = least;
-            least = Double.NaN;
-            windowEnd = now + WINDOW;
-            if (!Double.isNaN(leastBefore)) {
-                forecast.sample(now, leastBefore);
+            previousWindowMin = windowMin;
+            windowMin = Double.NaN;
+            windowEnd = now + WINDOW_MS;
+            if (!Double.isNaN(previousWindowMin)) {
+                forecast.sample(now, previousWindowMin);
             }
         }
-        least = Double.isNaN(least) ? share : Math.min(least, share);
+        windowMin = Double.isNaN(windowMin) ? share : Math.min(windowMin, share);
     }
 
-    /** The share of the heap in use, as far as collections tell: 0 before the first. */
+    /** Returns the share of the heap in use after collections, 0 before the first one. */
     public double usedShare() {
-        if (Double.isNaN(least)) {
-            return Double.isNaN(leastBefore) ? 0 : leastBefore;
+        if (Double.isNaN(windowMin)) {
+            return Double.isNaN(previousWindowMin) ? 0 : previousWindowMin;
         }
-        return Double.isNaN(leastBefore) ? least : Math.min(least, leastBefore);
+        return Double.isNaN(previousWindowMin) ? windowMin : Math.min(windowMin, previousWindowMin);
     }
 
-    /** Pressure on calls, in ranks. */
+    /** Returns the pressure on calls, in ranks. */
     public double pressure(int ranks) {
         return CongestionLevels.pressure(usedShare(), settings.memoryOnset(), settings.memoryCeiling(), ranks);
     }
 
-    /** The share of their room that caches may fill now; it falls at once and grows back over a minute. */
+    /** Returns the share of their capacity that caches may use; it falls at once and recovers within a minute. */
     public double cacheShare(double now) {
-        double foreseen = Math.max(usedShare(), forecast.valueAfter(settings.forecast()));
-        double room = foreseen < settings.memoryOnset()
+        double forecastShare = Math.max(usedShare(), forecast.valueAfter(settings.forecast()));
+        double permitted = forecastShare < settings.memoryOnset()
                 ? 1
                 : Math.max(
-                        LEAST_CACHE,
-                        1 - (foreseen - settings.memoryOnset()) / (settings.memoryCeiling() - settings.memoryOnset()));
-        double passed = Double.isNaN(cacheAt) ? 0 : Math.max(0, now - cacheAt);
-        cacheAt = now;
-        cache = Math.min(room, cache + passed / CACHE_GROWS_OVER);
-        return cache;
+                        MIN_CACHE_SHARE,
+                        1
+                                - (forecastShare - settings.memoryOnset())
+                                        / (settings.memoryCeiling() - settings.memoryOnset()));
+        double elapsed = Double.isNaN(cacheUpdatedAt) ? 0 : Math.max(0, now - cacheUpdatedAt);
+        cacheUpdatedAt = now;
+        cacheShare = Math.min(permitted, cacheShare + elapsed / CACHE_RECOVERY_MS);
+        return cacheShare;
     }
 
-    /** Milliseconds until the ceiling is reached at the present climb; infinite where there is none. */
+    /**
+     * Returns the time until usage reaches the ceiling at the current trend, in milliseconds; infinite if not rising.
+     */
     public double timeUntilCeiling() {
         return forecast.timeUntil(settings.memoryCeiling());
     }
--- a/src/main/java/damsonseam/overload/TablePressure.java
+++ b/src/main/java/damsonseam/overload/TablePressure.java
@@ -1,21 +1,21 @@
 package damsonseam.overload;
 
 /**
- * Pressure of the front's tables: calls open, look-ups out, files open. What any call may use ends at the onset; the
- * rest is kept for the dearer ranks, as trunk reservation keeps circuits for the traffic that matters most, and the
- * last room is for the dearest alone. Calls that are open are never touched.
+ * Converts the usage of the front's bounded tables (open calls, pending lookups, open files) to pressure. Calls of any
+ * rank may use the tables up to the onset; the rest is reserved for higher ranks and the last part of it for the
+ * highest rank alone, as trunk reservation does with circuits. Open calls are never affected. Immutable.
  */
 public final class TablePressure {
     private final OverloadSettings settings;
     private final int ranks;
 
-    /** Pressure for calls of so many ranks. */
+    /** Creates a converter for the given number of ranks. */
     public TablePressure(OverloadSettings settings, int ranks) {
         this.settings = settings;
         this.ranks = ranks;
     }
 
-    /** Pressure in ranks of the fullest of these shares, each 0 to 1. */
+    /** Returns the pressure of the fullest table in ranks, given the used share of each table, 0 to 1. */
     public double pressure(double... shares) {
         double fullest = 0;
         for (double share : shares) {
--- a/src/main/java/damsonseam/overload/TrendForecast.java
+++ b/src/main/java/damsonseam/overload/TrendForecast.java
@@ -1,52 +1,54 @@
 package damsonseam.overload;
 
 /**
- * Where a value that climbs slowly will be: level and trend by Holt's double exponential smoothing, for samples that
- * come at uneven times. Only a climb counts: a fall is not foreseen, it is waited for.
+ * Forecasts a slowly rising value by Holt's double exponential smoothing of level and trend, adapted to samples at
+ * uneven intervals. Only a rising trend is extrapolated; a falling one is not. Not thread-safe.
  */
 public final class TrendForecast {
-    private final double span;
-    private double at = Double.NaN;
+    private final double timeConstantMs;
+    private double lastSampleAt = Double.NaN;
     private double level;
-    private double perMs;
+    private double trendPerMs;
     private int samples;
 
-    /** A forecast that forgets over {@code span} milliseconds. */
-    public TrendForecast(double span) {
-        if (!(span > 0)) {
-            throw new IllegalArgumentException("span: expected over 0 ms, found " + span);
+    /** Creates a forecast with the given time constant of smoothing, in milliseconds. */
+    public TrendForecast(double timeConstantMs) {
+        if (!(timeConstantMs > 0)) {
+            throw new IllegalArgumentException("time constant must be over 0 ms, not " + timeConstantMs);
         }
-        this.span = span;
+        this.timeConstantMs = timeConstantMs;
     }
 
-    /** A value was seen. One that is not later than the last, as after a clock that jumped, is passed over. */
+    /** Adds a sample. A sample not later than the last one, as after a clock jump, is ignored. */
     public void sample(double now, double value) {
-        if (Double.isNaN(at)) {
-            at = now;
+        if (Double.isNaN(lastSampleAt)) {
+            lastSampleAt = now;
             level = value;
             samples = 1;
             return;
         }
-        double passed = now - at;
-        if (!(passed > 0)) {
+        double elapsed = now - lastSampleAt;
+        if (!(elapsed > 0)) {
             return;
         }
-        double w = 1 - Math.exp(-passed / span);
-        double before = level;
-        level += perMs * passed + w * (value - level - perMs * passed);
-        perMs += w * ((level - before) / passed - perMs);
-        at = now;
+        double weight = 1 - Math.exp(-elapsed / timeConstantMs);
+        double previousLevel = level;
+        level += trendPerMs * elapsed + weight * (value - level - trendPerMs * elapsed);
+        trendPerMs += weight * ((level - previousLevel) / elapsed - trendPerMs);
+        lastSampleAt = now;
         samples++;
     }
 
-    /** The value foreseen {@code ahead} milliseconds after the last sample; never below the present level. */
-    public double valueAfter(double ahead) {
-        // Two samples make a line through anything: a trend needs a few more before it is believed.
-        return samples < 4 ? level : level + Math.max(0, perMs) * ahead;
+    /** Returns the value forecast for {@code horizonMs} after the last sample; never below the current level. */
+    public double valueAfter(double horizonMs) {
+        // Two samples always define a line; a trend is used only after a few more.
+        return samples < 4 ? level : level + Math.max(0, trendPerMs) * horizonMs;
     }
 
-    /** Milliseconds until the value reaches {@code limit}; infinite where it does not climb. */
+    /** Returns the time until the value reaches {@code limit}, in milliseconds; infinite if it is not rising. */
     public double timeUntil(double limit) {
-        return level >= limit ? 0 : samples < 4 || perMs <= 0 ? Double.POSITIVE_INFINITY : (limit - level) / perMs;
+        return level >= limit
+                ? 0
+                : samples < 4 || trendPerMs <= 0 ? Double.POSITIVE_INFINITY : (limit - level) / trendPerMs;
     }
 }
--- a/src/main/java/damsonseam/overload/WorthRanks.java
+++ b/src/main/java/damsonseam/overload/WorthRanks.java
@@ -2,18 +2,18 @@
 
 import java.util.List;
 
-/** The classes of call in the order of what one is worth: rank 0 goes first when something must go. */
+/** Ranks the call classes by the worth of a call; rank 0 is the lowest and is refused first. Immutable. */
 public final class WorthRanks {
-    /** Ranks at most; classes beyond that share the ranks of their neighbours. */
+    /** Maximum number of ranks; if there are more distinct worths, neighbouring ones share a rank. */
     public static final int MAX_RANKS = 16;
 
-    private final int[] rankOf;
+    private final int[] rankByClass;
     private final int count;
 
-    /** Ranks of classes with these worths, in the order of the settings; equal worths share a rank. */
+    /** Creates the ranks of classes with these worths, in the order of the settings; equal worths share a rank. */
     public WorthRanks(List<Double> worths) {
         if (worths.isEmpty()) {
-            throw new IllegalArgumentException("ranks need one class at least");
+            throw new IllegalArgumentException("at least one call class is required");
         }
         double[] distinct = worths.stream()
                 .mapToDouble(Double::doubleValue)
@@ -21,20 +21,21 @@
                 .sorted()
                 .toArray();
         count = Math.min(MAX_RANKS, distinct.length);
-        rankOf = new int[worths.size()];
-        for (int i = 0; i < rankOf.length; i++) {
-            int place = java.util.Arrays.binarySearch(distinct, worths.get(i));
-            rankOf[i] = distinct.length <= MAX_RANKS ? place : (int) ((long) place * MAX_RANKS / distinct.length);
+        rankByClass = new int[worths.size()];
+        for (int i = 0; i < rankByClass.length; i++) {
+            int position = java.util.Arrays.binarySearch(distinct, worths.get(i));
+            rankByClass[i] =
+                    distinct.length <= MAX_RANKS ? position : (int) ((long) position * MAX_RANKS / distinct.length);
         }
     }
 
-    /** How many ranks there are. */
+    /** Returns the number of ranks. */
     public int count() {
         return count;
     }
 
-    /** The rank of a class, by its place in the settings. */
+    /** Returns the rank of a class, given the index of the class in the settings. */
     public int rankOfClass(int callClass) {
-        return rankOf[callClass];
+        return rankByClass[callClass];
     }
 }
--- a/src/main/java/damsonseam/overload/package-info.java
+++ b/src/main/java/damsonseam/overload/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The front's own overload: what it measures of itself, and which calls it does not take so that it does not fall
- * behind. Decisions only: no I/O, no threads, no clock; time is passed in, chance is seeded.
+ * Overload control of the front itself: its measurements of its own load and the admission control based on them.
+ * The package performs no I/O and has no threads and no clock: the current time is passed in, and random numbers are
+ * seeded.
  */
 package damsonseam.overload;
--- a/src/main/java/damsonseam/settings/LoadReportParser.java
+++ b/src/main/java/damsonseam/settings/LoadReportParser.java
@@ -7,43 +7,44 @@
 import java.util.OptionalDouble;
 import java.util.function.Function;
 
-/** Load reports as name:value pairs, of which only the names count that the settings name. */
+/** Parses load reports given as name:value pairs. Only the fields listed in the settings are used. Immutable. */
 public final class LoadReportParser {
     private final List<String> fields;
     private final char separator;
 
     /**
-     * Reports of these values.
+     * Creates a parser.
      *
-     * @param between what stands between two pairs
+     * @param fields names of the fields to use
+     * @param separator character that separates two pairs
      */
-    public LoadReportParser(List<String> fields, char between) {
+    public LoadReportParser(List<String> fields, char separator) {
         this.fields = List.copyOf(fields);
-        this.separator = between;
+        this.separator = separator;
     }
 
     /**
-     * Reads a report; an empty text, or one that is a dash, says nothing.
+     * Parses a report; an empty text or a dash yields {@link Report#NONE}.
      *
-     * @param wrong makes the error of the program that reads it out of what was expected
+     * @param errorFactory creates the exception for malformed input from a phrase that says what was expected
      */
-    public Report parse(String text, Function<String, RuntimeException> wrong) {
+    public Report parse(String text, Function<String, RuntimeException> errorFactory) {
         if (text.isEmpty() || text.equals("-")) {
             return Report.NONE;
         }
         Map<String, OptionalDouble> values = new HashMap<>();
-        for (int at = 0; at <= text.length(); ) {
-            int next = text.indexOf(separator, at);
-            int end = next < 0 ? text.length() : next;
-            String pair = text.substring(at, end).strip();
-            at = end + 1;
+        for (int start = 0; start <= text.length(); ) {
+            int separatorIndex = text.indexOf(separator, start);
+            int end = separatorIndex < 0 ? text.length() : separatorIndex;
+            String pair = text.substring(start, end).strip();
+            start = end + 1;
             int colon = pair.indexOf(':');
             if (colon <= 0) {
-                throw wrong.apply("a load report as name:value pairs");
+                throw errorFactory.apply("a load report as name:value pairs");
             }
             String name = pair.substring(0, colon);
             if (fields.contains(name) && !pair.endsWith(":-")) {
-                values.put(name, decimal(pair.substring(colon + 1), name, wrong));
+                values.put(name, parseValue(pair.substring(colon + 1), name, errorFactory));
             }
         }
         return new Report(
@@ -54,16 +55,17 @@
                 value(values, "pending"));
     }
 
-    /** A value below 0 is not given. */
-    private static OptionalDouble decimal(String word, String name, Function<String, RuntimeException> wrong) {
+    /** Parses a value; a negative one means that the value is unknown. */
+    private static OptionalDouble parseValue(
+            String text, String name, Function<String, RuntimeException> errorFactory) {
         double value;
         try {
-            value = Double.parseDouble(word);
+            value = Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw wrong.apply(name + " as a number");
+            throw errorFactory.apply(name + " as a number");
         }
         if (!Double.isFinite(value)) {
-            throw wrong.apply(name + " as a finite number");
+            throw errorFactory.apply(name + " as a finite number");
         }
         return value < 0 ? OptionalDouble.empty() : OptionalDouble.of(value);
     }
--- a/src/main/java/damsonseam/settings/PlatformSettings.java
+++ b/src/main/java/damsonseam/settings/PlatformSettings.java
@@ -12,46 +12,46 @@
 import java.util.function.Function;
 
 /**
- * The settings that the platform gives an instance, by their paths as the wire writes them
- * ({@code Caps.MaxAttempts}, {@code RequestClasses.0.Worth}), in the terms of the interface. Unknown ones are
- * skipped. The simulator's first message and a front node's configuration hold the same.
+ * The settings that the platform gives to an instance, keyed by path ({@code Caps.MaxAttempts},
+ * {@code RequestClasses.0.Worth}), and their mapping to the settings of the decision module. Unknown paths are ignored.
+ * The simulator's first message and the front node's configuration use the same paths. Immutable.
  */
 public final class PlatformSettings {
     private final Map<String, String> values;
-    private final Function<String, RuntimeException> wrong;
+    private final Function<String, RuntimeException> errorFactory;
 
     /**
-     * Settings by their paths.
+     * Creates settings from their values by path.
      *
-     * @param wrong makes the error of the program that reads them out of what was expected
+     * @param errorFactory creates the exception for a malformed value from a phrase that says what was expected
      */
-    public PlatformSettings(Map<String, String> values, Function<String, RuntimeException> wrong) {
+    public PlatformSettings(Map<String, String> values, Function<String, RuntimeException> errorFactory) {
         this.values = new HashMap<>(values);
-        this.wrong = wrong;
+        this.errorFactory = errorFactory;
     }
 
-    /** Settings as space-separated {@code path=value} pairs. */
-    public static PlatformSettings parse(String pairs, Function<String, RuntimeException> wrong) {
+    /** Parses settings from space-separated {@code path=value} pairs. */
+    public static PlatformSettings parse(String pairs, Function<String, RuntimeException> errorFactory) {
         Map<String, String> values = new HashMap<>();
         for (String pair : pairs.split(" ")) {
-            int eq = pair.indexOf('=');
-            if (eq > 0) {
-                values.put(pair.substring(0, eq), pair.substring(eq + 1));
+            int equals = pair.indexOf('=');
+            if (equals > 0) {
+                values.put(pair.substring(0, equals), pair.substring(equals + 1));
             } else if (!pair.isEmpty()) {
-                throw wrong.apply("settings as path=value");
+                throw errorFactory.apply("settings as path=value");
             }
         }
-        return new PlatformSettings(values, wrong);
+        return new PlatformSettings(values, errorFactory);
     }
 
-    /** What the decision module is given. */
+    /** Returns the settings of the decision module. */
     public Settings moduleSettings(long seed) {
         return new Settings(
                 seed,
-                whole("Balancers"),
+                integer("Balancers"),
                 classes(),
-                whole("FamilyInfo.SelfNo"),
-                whole("Caps.MaxAttempts"),
+                integer("FamilyInfo.SelfNo"),
+                integer("Caps.MaxAttempts"),
                 flag("Caps.MayCancel"),
                 flag("Caps.MayProbe"),
                 flag("Caps.MayTell"),
@@ -68,12 +68,12 @@
                 flag("Caps.RetryAfter").orElse(false) ? number("Caps.MaxRetryAfter") : OptionalDouble.empty());
     }
 
-    /** Names of the values of a load report, in their order. */
+    /** Returns the names of the fields of a load report, in order. */
     public List<String> reportFields() {
         return text("Report.Fields").map(names -> List.of(names.split(","))).orElse(List.of());
     }
 
-    /** Names of the classes of call, in their order. */
+    /** Returns the names of the call classes, in order. */
     public List<String> classNames() {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < classCount(); i++) {
@@ -82,18 +82,18 @@
         return names;
     }
 
-    /** Calls that an instance may hold open, where the platform says so. */
+    /** Returns the maximum number of open calls of an instance, if the platform sets one. */
     public OptionalInt maxHeldCalls() {
-        return whole("Caps.MostHeld");
+        return integer("Caps.MostHeld");
     }
 
-    /** How long a connection may take to be made, in milliseconds. */
+    /** Returns the timeout for establishing a connection, in milliseconds. */
     public OptionalDouble connectTimeout() {
         return number("Caps.ConnectTimeout");
     }
 
     private int classCount() {
-        return whole("RequestClasses.count").orElse(0);
+        return integer("RequestClasses.count").orElse(0);
     }
 
     private List<CallClass> classes() {
@@ -111,13 +111,13 @@
     }
 
     private Optional<List<Integer>> pools(int callClass) {
-        Optional<String> list = text("FamilyInfo.SkilledPools." + callClass);
-        if (list.isEmpty()) {
+        Optional<String> poolNumbers = text("FamilyInfo.SkilledPools." + callClass);
+        if (poolNumbers.isEmpty()) {
             return Optional.empty();
         }
         List<Integer> pools = new ArrayList<>();
-        for (String pool : list.get().split(",")) {
-            pools.add((int) decimal(pool, "a pool number"));
+        for (String pool : poolNumbers.get().split(",")) {
+            pools.add((int) parseNumber(pool, "a pool number"));
         }
         return Optional.of(pools);
     }
@@ -129,22 +129,22 @@
 
     private OptionalDouble number(String path) {
         Optional<String> value = text(path);
-        return value.isEmpty() ? OptionalDouble.empty() : OptionalDouble.of(decimal(value.get(), path));
+        return value.isEmpty() ? OptionalDouble.empty() : OptionalDouble.of(parseNumber(value.get(), path));
     }
 
-    private double decimal(String word, String name) {
+    private double parseNumber(String text, String name) {
         try {
-            double value = Double.parseDouble(word);
+            double value = Double.parseDouble(text);
             if (Double.isFinite(value)) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            throw wrong.apply(name + " as a number");
+            throw errorFactory.apply(name + " as a number");
         }
-        throw wrong.apply(name + " as a finite number");
+        throw errorFactory.apply(name + " as a finite number");
     }
 
-    private OptionalInt whole(String path) {
+    private OptionalInt integer(String path) {
         OptionalDouble value = number(path);
         return value.isEmpty() ? OptionalInt.empty() : OptionalInt.of((int) value.getAsDouble());
     }
@@ -153,7 +153,7 @@
         return text(path).map(value -> switch (value) {
             case "true", "1" -> true;
             case "false", "0" -> false;
-            default -> throw wrong.apply(path + " as true or false");
+            default -> throw errorFactory.apply(path + " as true or false");
         });
     }
 }
--- a/src/main/java/damsonseam/settings/package-info.java
+++ b/src/main/java/damsonseam/settings/package-info.java
@@ -1,2 +1,2 @@
-/** What the platform's settings and load reports mean in the terms of the module; one mapping for all programs. */
+/** Maps the platform's settings and load reports to those of the decision module; shared by all programs. */
 package damsonseam.settings;
