--- a/src/main/java/damsonseam/front/StreamListener.java
+++ b/src/main/java/damsonseam/front/StreamListener.java
@@ -3,7 +3,7 @@
 import damsonseam.core.CallRecord;
 import damsonseam.core.Router;
 import damsonseam.dns.EnumService;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -49,7 +49,7 @@
     /** A connection whose peer has read nothing for this time is closed. */
     private static final int SLOW_READER_TIMEOUT_MS = 5_000;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final EnumService service;
     private final Router router;
     private final EnumService.Gate gate;
@@ -60,7 +60,7 @@
 
     private Channel serverChannel;
 
-    StreamListener(Loop loop, EnumService service, Router router, EnumService.Gate gate, int maxConnections) {
+    StreamListener(CoreLoop loop, EnumService service, Router router, EnumService.Gate gate, int maxConnections) {
         this.loop = loop;
         this.service = service;
         this.router = router;
@@ -142,7 +142,7 @@
                     loop.now(),
                     ctx.channel(),
                     true,
-                    router.turnAge(loop.now()),
+                    router.maxReadAge(loop.now()),
                     ByteBufUtil.getBytes(frame),
                     gate,
                     answer -> {
@@ -157,7 +157,7 @@
                 openCalls.put(opened[0].id(), opened[0]);
             }
             updateReadState(ctx);
-            loop.kick();
+            loop.scheduleBatchEnd();
         }
 
         /** Pauses or resumes reading; a connection without open questions becomes a candidate for eviction. */
@@ -196,9 +196,9 @@
             connections.remove(ctx.channel());
             idleConnections.remove(ctx.channel());
             // The answers cannot be delivered any more: the open calls count as abandoned.
-            openCalls.values().forEach(call -> router.left(loop.now(), call));
+            openCalls.values().forEach(call -> router.callerAbandoned(loop.now(), call));
             openCalls.clear();
-            loop.kick();
+            loop.scheduleBatchEnd();
         }
 
         @Override
--- a/src/main/java/damsonseam/node/CallRegistry.java
+++ b/src/main/java/damsonseam/node/CallRegistry.java
@@ -171,15 +171,15 @@
         SipMessage refusal = finalAnswer.kind() == FinalAnswer.Kind.REFUSED
                 ? SipMessage.response(SERVICE_UNAVAILABLE, "Service Unavailable", call.id, call.cseq)
                 : SipMessage.response(SERVER_INTERNAL_ERROR, "Server Internal Error", call.id, call.cseq);
-        if (finalAnswer.returnAfter() >= 1) {
-            refusal.addHeader("X-Pause", Long.toString(Math.round(finalAnswer.returnAfter())));
+        if (finalAnswer.retryAfterMs() >= 1) {
+            refusal.addHeader("X-Pause", Long.toString(Math.round(finalAnswer.retryAfterMs())));
         }
         caller.send(refusal, null);
     }
 
     /** Removes a call whose caller abandoned it before the final response. */
     void abandon(NodeCall call) {
-        router.left(router.now(), call.record);
+        router.callerAbandoned(router.now(), call.record);
         remove(call);
     }
 
@@ -201,7 +201,7 @@
         recordRelease(call.establishedServer.id(), call.id, cause);
         logCallEvent(call, "call released: " + result);
         if (call.record != null) {
-            router.ended(
+            router.attemptEnded(
                     router.now(),
                     call.record.id(),
                     call.record.attempts() - 1,
--- a/src/main/java/damsonseam/node/ServerEndpoint.java
+++ b/src/main/java/damsonseam/node/ServerEndpoint.java
@@ -5,8 +5,8 @@
 import damsonseam.Front.Result;
 import damsonseam.Front.State;
 import damsonseam.config.Endpoint;
-import damsonseam.core.Pool;
 import damsonseam.core.Router;
+import damsonseam.core.ServerList;
 import damsonseam.sip.SipDecoder;
 import damsonseam.sip.SipHeaders;
 import damsonseam.sip.SipMessage;
@@ -59,7 +59,7 @@
 
     private final ServerEndpoints.EndpointContext context;
     private final Router router;
-    private Pool.Server server;
+    private ServerList.Server server;
     private final List<ServerConnection> connections = new ArrayList<>();
     private final Map<String, Attempt> attempts = new HashMap<>();
     private final ArrayDeque<Attempt> queuedAttempts = new ArrayDeque<>();
@@ -115,7 +115,7 @@
     /** A test that is not answered yet; the module hears of those that it asked for. */
     private record Probe(double sentAtMs, boolean requested, ServerConnection connection) {}
 
-    ServerEndpoint(ServerEndpoints.EndpointContext context, Router router, Pool.Server server) {
+    ServerEndpoint(ServerEndpoints.EndpointContext context, Router router, ServerList.Server server) {
         this.context = context;
         this.router = router;
         this.server = server;
@@ -167,8 +167,8 @@
     // ---- The list ---------------------------------------------------------------------------------------
 
     /** The list names this server, perhaps with a later start or draining. */
-    void update(Pool.Server updated) {
-        Pool.Server previous = server;
+    void update(ServerList.Server updated) {
+        ServerList.Server previous = server;
         listed = true;
         if (replaced && updated.address().equals(previous.address())) {
             return; // The list still names it: its end has not been told yet.
@@ -297,7 +297,7 @@
             }
             scheduleReconnect();
         }
-        context.loop().kick();
+        context.loop().scheduleBatchEnd();
     }
 
     /** A connection is gone: what was out on it may have run. */
@@ -313,7 +313,7 @@
         // A release may have been on its way here: the server says it again on the next connection that is opened.
         connectAgain = connecting;
         connect();
-        router.clock(now());
+        router.advanceClock(now());
         for (Attempt attempt : List.copyOf(attempts.values())) {
             if (attempt.connection == connection && attempt.sent) {
                 attempt.nodeCall.brokenAttemptServer = this;
@@ -325,14 +325,14 @@
         probes.entrySet().removeIf(entry -> {
             boolean lost = entry.getValue().connection == connection;
             if (lost && entry.getValue().requested) {
-                router.probed(now(), server.id(), true, false, now() - entry.getValue().sentAtMs, Report.NONE);
+                router.probeCompleted(now(), server.id(), true, false, now() - entry.getValue().sentAtMs, Report.NONE);
             }
             return lost;
         });
         if (connections.isEmpty() && !active) {
             cutCalls(call -> true);
         }
-        context.loop().kick();
+        context.loop().scheduleBatchEnd();
     }
 
     private void scheduleReconnect() {
@@ -343,7 +343,7 @@
         double delayMs = backoffMs * (0.5 + 0.5 * context.random().nextDouble());
         backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
         backingOff = true;
-        context.loop().timers().set(now() + delayMs, firedAt -> {
+        context.loop().timers().schedule(now() + delayMs, firedAt -> {
             backingOff = false;
             if (connections.isEmpty()) {
                 connect();
@@ -405,7 +405,7 @@
     private void assign(Attempt attempt, ServerConnection connection) {
         attempt.connection = connection;
         connection.adjustOutstanding(1);
-        context.loop().afterReads(() -> {
+        context.loop().runAfterReads(() -> {
             if (attempts.get(attempt.key()) == attempt && attempt.connection == connection && !attempt.sent) {
                 sendInvite(attempt);
             }
@@ -438,7 +438,7 @@
         }
         if (!attempt.sent) {
             queuedAttempts.remove(attempt);
-            context.loop().timers().set(now(), firedAt -> router.released(firedAt, recordId, index));
+            context.loop().timers().schedule(now(), firedAt -> router.releaseConfirmed(firedAt, recordId, index));
             return;
         }
         attempt.connection.onCancelled(attempt.sentAtMs);
@@ -446,8 +446,8 @@
         cancelledAttempts.put(attempt.key(), attempt.nodeCall.requestUri);
         attempt.connection.send(
                 SipMessage.request(SipMessage.CANCEL, attempt.nodeCall.requestUri, callId, index + 1), written -> {
-                    router.released(now(), recordId, index);
-                    context.loop().kick();
+                    router.releaseConfirmed(now(), recordId, index);
+                    context.loop().scheduleBatchEnd();
                 });
     }
 
@@ -456,7 +456,7 @@
         if (attempt.connection != null) {
             attempt.connection.adjustOutstanding(-1);
         }
-        router.ended(now(), attempt.recordId, attempt.index, result, reason, OptionalDouble.empty(), report);
+        router.attemptEnded(now(), attempt.recordId, attempt.index, result, reason, OptionalDouble.empty(), report);
         closeIfUnused();
     }
 
@@ -495,7 +495,7 @@
     }
 
     private void cutCalls(java.util.function.Predicate<NodeCall> filter) {
-        router.clock(now());
+        router.advanceClock(now());
         for (NodeCall call : List.copyOf(establishedCalls)) {
             if (filter.test(call)) {
                 context.callRegistry().onReleasedByServer(call, Result.RESET, Report.NONE);
@@ -510,18 +510,18 @@
         if (!isFailedProbe(message)) {
             lastReceivedMs = now;
         }
-        router.catchUp(now);
-        router.clock(now);
+        router.fireOverdueTimers(now);
+        router.advanceClock(now);
         Report report = parseReport(message);
         if (!message.isRequest()) {
             onResponse(connection, message, report, now);
         } else if (message.method().equals(SipMessage.NOTIFY)) {
-            router.probed(now, server.id(), false, true, 0, report);
+            router.probeCompleted(now, server.id(), false, true, 0, report);
         } else if (message.method().equals(SipMessage.BYE)) {
             connection.send(SipMessage.response(SipMessage.OK, "OK", message.callId(), message.cseq()), null);
             onBye(connection, message, report);
         }
-        context.loop().kick();
+        context.loop().scheduleBatchEnd();
     }
 
     /**
@@ -536,7 +536,7 @@
 
     private Report parseReport(SipMessage message) {
         String text = message.headers().get("X-Occupancy");
-        return text == null ? Report.NONE : context.reportFields().read(text, IllegalArgumentException::new);
+        return text == null ? Report.NONE : context.reportFields().parse(text, IllegalArgumentException::new);
     }
 
     private void onResponse(ServerConnection connection, SipMessage message, Report report, double now) {
@@ -546,7 +546,8 @@
         if (message.cseqMethod().equals(SipMessage.OPTIONS)) {
             Probe probe = probes.remove(String.valueOf(message.callId()));
             if (probe != null && probe.requested) {
-                router.probed(now, server.id(), true, message.status() == SipMessage.OK, now - probe.sentAtMs, report);
+                router.probeCompleted(
+                        now, server.id(), true, message.status() == SipMessage.OK, now - probe.sentAtMs, report);
             }
             return;
         }
@@ -574,7 +575,7 @@
         call.answerContentType = message.headers().get("Content-Type");
         call.answeringServer = this;
         call.establishedConnection = connection;
-        router.stands(now, attempt.recordId, attempt.index, report);
+        router.callEstablished(now, attempt.recordId, attempt.index, report);
         call.answeringServer = null;
         if (call.establishedServer == null) {
             // The core took it for too late: nobody waits for this call any more.
@@ -679,9 +680,9 @@
             if (requested) {
                 context.loop()
                         .timers()
-                        .set(
+                        .schedule(
                                 now + context.connectTimeoutMs(),
-                                firedAt -> router.probed(
+                                firedAt -> router.probeCompleted(
                                         firedAt,
                                         server.id(),
                                         true,
@@ -699,9 +700,9 @@
         String probeId = String.format("%016x", (long) server.id().hashCode() << 32 | probeNumber++ & 0xffffffffL);
         probes.put(probeId, new Probe(now, requested, connection));
         connection.send(SipMessage.request(SipMessage.OPTIONS, PROBE_URI, probeId, 1), null);
-        context.loop().timers().set(now + context.connectTimeoutMs(), firedAt -> {
+        context.loop().timers().schedule(now + context.connectTimeoutMs(), firedAt -> {
             if (probes.remove(probeId) != null && requested) {
-                router.probed(firedAt, server.id(), true, false, firedAt - now, Report.NONE);
+                router.probeCompleted(firedAt, server.id(), true, false, firedAt - now, Report.NONE);
             }
         });
     }
--- a/src/main/java/damsonseam/node/ServerEndpoints.java
+++ b/src/main/java/damsonseam/node/ServerEndpoints.java
@@ -5,11 +5,11 @@
 import damsonseam.Front.Result;
 import damsonseam.Front.State;
 import damsonseam.core.CallRecord;
-import damsonseam.core.Pool;
-import damsonseam.core.Ports;
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
-import damsonseam.settings.ReportFields;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.ServerList;
+import damsonseam.loop.CoreLoop;
+import damsonseam.settings.LoadReportParser;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -18,8 +18,9 @@
 import java.util.function.BooleanSupplier;
 
 /** The ways to the signalling servers, one for each that the list has named and that is still of use. */
-final class ServerEndpoints implements Ports.Trunks {
-    private static final Ports.NotSent UNREACHABLE = new Ports.NotSent(Result.UNREACHABLE, Reason.NONE);
+final class ServerEndpoints implements RouterPorts.ServerSignalling {
+    private static final RouterPorts.SendFailure UNREACHABLE =
+            new RouterPorts.SendFailure(Result.UNREACHABLE, Reason.NONE);
     private static final double SWEEP_INTERVAL_MS = 250;
 
     /**
@@ -31,9 +32,9 @@
      * @param probesAllowed whether the settings allow tests
      */
     record EndpointContext(
-            Loop loop,
+            CoreLoop loop,
             CallRegistry callRegistry,
-            ReportFields reportFields,
+            LoadReportParser reportFields,
             double connectTimeoutMs,
             BooleanSupplier hasCapacity,
             SplittableRandom random,
@@ -52,9 +53,9 @@
      * @param probesAllowed whether the settings allow tests
      */
     ServerEndpoints(
-            Loop loop,
+            CoreLoop loop,
             CallRegistry callRegistry,
-            ReportFields reportFields,
+            LoadReportParser reportFields,
             double connectTimeoutMs,
             int maxConnections,
             long seed,
@@ -75,7 +76,7 @@
 
     void start(Router router) {
         this.router = router;
-        context.loop().timers().set(context.loop().now() + SWEEP_INTERVAL_MS, this::sweep);
+        context.loop().timers().schedule(context.loop().now() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     ServerEndpoint get(String id) {
@@ -110,9 +111,9 @@
     }
 
     /** Follows the list: new servers get a link, those gone from it lose theirs once their calls are over. */
-    void applyServerList(Pool pool) {
+    void applyServerList(ServerList pool) {
         Set<String> listedIds = new HashSet<>();
-        for (Pool.Server server : pool.servers()) {
+        for (ServerList.Server server : pool.servers()) {
             listedIds.add(server.id());
             ServerEndpoint endpoint = endpoints.get(server.id());
             if (endpoint == null) {
@@ -136,11 +137,12 @@
     private void sweep(double now) {
         endpoints.values().forEach(endpoint -> endpoint.sweep(now));
         endpoints.values().removeIf(ServerEndpoint::isObsolete);
-        context.loop().timers().set(now + SWEEP_INTERVAL_MS, this::sweep);
+        context.loop().timers().schedule(now + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     @Override
-    public Ports.NotSent setUp(double now, String server, long call, int attempt, double until, CallRecord record) {
+    public RouterPorts.SendFailure sendSetUp(
+            double now, String server, long call, int attempt, double until, CallRecord record) {
         ServerEndpoint endpoint = endpoints.get(server);
         NodeCall nodeCall = context.callRegistry().get(call);
         return endpoint != null && nodeCall != null && endpoint.setUp(nodeCall, call, attempt, until)
@@ -149,7 +151,7 @@
     }
 
     @Override
-    public double release(double now, String server, long call, int attempt, boolean timedOut) {
+    public double sendRelease(double now, String server, long call, int attempt, boolean timedOut) {
         ServerEndpoint endpoint = endpoints.get(server);
         NodeCall nodeCall = context.callRegistry().get(call);
         if (endpoint != null && nodeCall != null) {
@@ -159,18 +161,18 @@
     }
 
     @Override
-    public void probe(double now, String server) {
+    public void sendProbe(double now, String server) {
         ServerEndpoint endpoint = endpoints.get(server);
         if (endpoint != null) {
             endpoint.probe();
         } else {
-            context.loop().timers().set(now, at -> router.probed(at, server, true, false, 0, Report.NONE));
+            context.loop().timers().schedule(now, at -> router.probeCompleted(at, server, true, false, 0, Report.NONE));
         }
     }
 
     /** Whether each running server of the list has been reached, or has been tried in vain. */
     boolean isReady() {
-        return router.pool().servers().stream()
+        return router.serverList().servers().stream()
                 .filter(server -> server.state() == State.RUNNING)
                 .allMatch(server -> endpoints.containsKey(server.id())
                         && endpoints.get(server.id()).hasTriedToConnect());
--- a/src/main/java/damsonseam/node/ServerListUpdate.java
+++ b/src/main/java/damsonseam/node/ServerListUpdate.java
@@ -1,7 +1,7 @@
 package damsonseam.node;
 
 import damsonseam.Front.State;
-import damsonseam.core.Pool;
+import damsonseam.core.ServerList;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.OptionalDouble;
@@ -27,10 +27,10 @@
     record Entry(String id, String address, int cell, State state, long upSince) {}
 
     /** The entries on the node's own clock, which reads {@code now} at the Unix millisecond {@code unix}. */
-    List<Pool.Server> toServers(double nowMs, long unixMs) {
-        List<Pool.Server> servers = new ArrayList<>(entries.size());
+    List<ServerList.Server> toServers(double nowMs, long unixMs) {
+        List<ServerList.Server> servers = new ArrayList<>(entries.size());
         for (Entry entry : entries) {
-            servers.add(new Pool.Server(
+            servers.add(new ServerList.Server(
                     entry.id,
                     entry.cell,
                     entry.address,
