--- a/src/main/java/damsonseam/adapter/WireAdapter.java
+++ b/src/main/java/damsonseam/adapter/WireAdapter.java
@@ -9,8 +9,8 @@
 import damsonseam.RoutingPolicy.ServerEntry;
 import damsonseam.RoutingPolicy.ServerLoadReport;
 import damsonseam.RoutingPolicy.ServerState;
-import damsonseam.settings.ReportFields;
-import damsonseam.settings.StartSettings;
+import damsonseam.settings.LoadReportParser;
+import damsonseam.settings.PlatformSettings;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
@@ -30,7 +30,7 @@
     private static final int NOTE_BITS = 16;
     private static final int NOTE_BEYOND_FULL = 18;
 
-    private record Instance(RoutingPolicy front, ReportFields reportFields) {}
+    private record Instance(RoutingPolicy front, LoadReportParser reportFields) {}
 
     private final BufferedReader in;
     private final Writer out;
@@ -147,9 +147,9 @@
     private void boot(WireLineReader line) {
         int number = line.small("the instance");
         long seed = line.whole("the seed");
-        StartSettings start = StartSettings.pairs(line.rest(), line::wrong);
-        RoutingPolicy front = new CongestionControlPolicy(start.settings(seed), new ReplyWriter(reply, number));
-        instances.put(number, new Instance(front, new ReportFields(start.reportFields(), ',')));
+        PlatformSettings start = PlatformSettings.parse(line.rest(), line::wrong);
+        RoutingPolicy front = new CongestionControlPolicy(start.moduleSettings(seed), new ReplyWriter(reply, number));
+        instances.put(number, new Instance(front, new LoadReportParser(start.reportFields(), ',')));
     }
 
     private Instance instance(WireLineReader line) {
@@ -290,7 +290,7 @@
     }
 
     private static ServerLoadReport report(Instance instance, WireLineReader line) {
-        return instance.reportFields().read(line.rest(), line::wrong);
+        return instance.reportFields().parse(line.rest(), line::wrong);
     }
 
     private static byte[] bytes(WireLineReader line) {
--- a/src/main/java/damsonseam/front/ResolverSockets.java
+++ b/src/main/java/damsonseam/front/ResolverSockets.java
@@ -1,9 +1,9 @@
 package damsonseam.front;
 
-import damsonseam.core.Candidates;
+import damsonseam.core.LookupResult;
 import damsonseam.core.Router;
 import damsonseam.dns.Resolver;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -35,14 +35,14 @@
     /** Limit of concurrent TCP connections; a further query is dropped and left to the resolver's next try. */
     private static final int MAX_STREAMS = 64;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final List<InetSocketAddress> authorities;
     private final Channel[] sockets;
     private Resolver resolver;
     private Router router;
     private int openStreams;
 
-    ResolverSockets(Loop loop, List<InetSocketAddress> authorities, int count) throws InterruptedException {
+    ResolverSockets(CoreLoop loop, List<InetSocketAddress> authorities, int count) throws InterruptedException {
         this.loop = loop;
         this.authorities = authorities;
         sockets = new Channel[count];
@@ -81,7 +81,7 @@
 
     private void deliverAnswer(int authority, int socket, byte[] message) {
         resolver.answer(loop.now(), authority, socket, message);
-        loop.kick();
+        loop.scheduleBatchEnd();
     }
 
     @Override
@@ -116,9 +116,9 @@
     }
 
     @Override
-    public void lookedUp(double now, long call, Candidates candidates) {
-        router.lookedUp(now, call, candidates);
-        loop.kick();
+    public void lookedUp(double now, long call, LookupResult candidates) {
+        router.lookupCompleted(now, call, candidates);
+        loop.scheduleBatchEnd();
     }
 
     void close() {
--- a/src/main/java/damsonseam/node/CallerListener.java
+++ b/src/main/java/damsonseam/node/CallerListener.java
@@ -1,7 +1,7 @@
 package damsonseam.node;
 
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import damsonseam.sip.SipDecoder;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -39,7 +39,7 @@
 
     private static final double SWEEP_INTERVAL_MS = 50;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final InviteParser inviteParser;
     private final CallRegistry callRegistry;
     private final ServerEndpoints serverEndpoints;
@@ -58,7 +58,7 @@
     private double acceptFromMs = Double.NEGATIVE_INFINITY;
 
     CallerListener(
-            Loop loop,
+            CoreLoop loop,
             InviteParser inviteParser,
             CallRegistry callRegistry,
             ServerEndpoints serverEndpoints,
@@ -74,7 +74,7 @@
 
     void start(Router router) {
         this.router = router;
-        loop.timers().set(loop.now() + SWEEP_INTERVAL_MS, this::sweep);
+        loop.timers().schedule(loop.now() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     /** Opens the port. */
@@ -239,14 +239,14 @@
         });
         expired.forEach(connection -> connection.close("silent or idle"));
         enforceConnectionLimit(now);
-        loop.timers().set(now + SWEEP_INTERVAL_MS, this::sweep);
+        loop.timers().schedule(now + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     boolean isReady() {
         return ready.getAsBoolean();
     }
 
-    Loop loop() {
+    CoreLoop loop() {
         return loop;
     }
 
--- a/src/main/java/damsonseam/node/CoordinatorClient.java
+++ b/src/main/java/damsonseam/node/CoordinatorClient.java
@@ -2,10 +2,10 @@
 
 import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.Endpoint;
-import damsonseam.core.Pool;
-import damsonseam.core.Ports;
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.ServerList;
+import damsonseam.loop.CoreLoop;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -29,7 +29,7 @@
  * number had. There is one watch at a time, and each one that ends is followed by one backoff, whoever asks: a fleet
  * that loses its coordinator must not storm it when it returns.
  */
-final class CoordinatorClient implements Ports.Directory {
+final class CoordinatorClient implements RouterPorts.Directory {
     private static final Logger LOG = LoggerFactory.getLogger(CoordinatorClient.class);
     /** A frame comes each second; two missing ones would be late for what a silent coordinator owes. */
     private static final double SILENCE_TIMEOUT_MS = 1_500;
@@ -39,9 +39,9 @@
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final int HEADER_BYTES = 9;
     private static final int RECORD_BYTES = 27;
-    private static final int MAX_FRAME_BYTES = HEADER_BYTES + RECORD_BYTES * Pool.MOST_SERVERS;
+    private static final int MAX_FRAME_BYTES = HEADER_BYTES + RECORD_BYTES * ServerList.MAX_SERVERS;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final ServerEndpoints serverEndpoints;
     private final SplittableRandom random;
     private Router router;
@@ -57,7 +57,7 @@
     private boolean closed;
 
     /** @param seed spreads the backoffs of a fleet */
-    CoordinatorClient(Loop loop, ServerEndpoints serverEndpoints, Endpoint address, long seed) {
+    CoordinatorClient(CoreLoop loop, ServerEndpoints serverEndpoints, Endpoint address, long seed) {
         this.loop = loop;
         this.serverEndpoints = serverEndpoints;
         this.address = address;
@@ -73,13 +73,13 @@
 
     /** The module asks for the list before the start, which connects by itself, or when it was told of a failure. */
     @Override
-    public void follow() {
-        fetch();
+    public void subscribeToUpdates() {
+        requestServerList();
     }
 
     /** Asks from the last number had, after the backoff; while an ask is out that is the one. */
     @Override
-    public void fetch() {
+    public void requestServerList() {
         if (channel != null) {
             onConnectionLost(generation, "asked for");
         }
@@ -140,7 +140,7 @@
     }
 
     private void scheduleSilenceCheck(long connectionGeneration) {
-        loop.timers().set(loop.now() + SILENCE_TIMEOUT_MS / 4, now -> {
+        loop.timers().schedule(loop.now() + SILENCE_TIMEOUT_MS / 4, now -> {
             if (connectionGeneration != generation) {
                 return;
             }
@@ -158,12 +158,12 @@
         }
         LOG.atInfo()
                 .addKeyValue("why", reason)
-                .addKeyValue("last", router.pool().version())
+                .addKeyValue("last", router.serverList().version())
                 .log("coordinator lost");
         long nextGeneration = disconnect();
         double delayMs = backoffMs * (0.5 + 0.5 * random.nextDouble());
         backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
-        loop.timers().set(loop.now() + delayMs, now -> {
+        loop.timers().schedule(loop.now() + delayMs, now -> {
             if (nextGeneration == generation) {
                 connect();
             }
@@ -173,7 +173,7 @@
     /** One frame; null says that nothing is new, as of {@code number}. */
     private void onFrame(long connectionGeneration, long number, ServerListUpdate update) {
         lastReceivedMs = loop.now();
-        if (update != null ? apply(update) : number <= router.pool().version() || number <= lastGapNumber) {
+        if (update != null ? apply(update) : number <= router.serverList().version() || number <= lastGapNumber) {
             backoffMs = INITIAL_BACKOFF_MS;
             return;
         }
@@ -184,13 +184,13 @@
 
     /** Events that were had already are passed over; a gap asks again from the last number had. */
     private boolean apply(ServerListUpdate update) {
-        if (update.number() <= router.pool().version()) {
+        if (update.number() <= router.serverList().version()) {
             return true;
         }
         double now = loop.now();
-        boolean gap = router.directory(
+        boolean gap = router.serverListUpdated(
                 now, update.number(), update.full(), update.toServers(now, System.currentTimeMillis()));
-        serverEndpoints.applyServerList(router.pool());
+        serverEndpoints.applyServerList(router.serverList());
         LOG.atInfo()
                 .addKeyValue("number", update.number())
                 .addKeyValue("full", update.full())
@@ -254,7 +254,8 @@
                 return;
             }
             channel = ctx.channel();
-            ctx.writeAndFlush(ctx.alloc().buffer(8).writeLong(router.pool().version()));
+            ctx.writeAndFlush(
+                    ctx.alloc().buffer(8).writeLong(router.serverList().version()));
         }
 
         @Override
@@ -267,7 +268,7 @@
             }
             long number = frame.readLong();
             onFrame(connectionGeneration, number, parseFrame(number, frame));
-            loop.kick();
+            loop.scheduleBatchEnd();
         }
 
         @Override
--- a/src/main/java/damsonseam/node/InviteParser.java
+++ b/src/main/java/damsonseam/node/InviteParser.java
@@ -1,7 +1,7 @@
 package damsonseam.node;
 
-import damsonseam.settings.ReportFields;
-import damsonseam.settings.StartSettings;
+import damsonseam.settings.LoadReportParser;
+import damsonseam.settings.PlatformSettings;
 import damsonseam.sip.SipMessage;
 import java.util.List;
 
@@ -16,16 +16,16 @@
     private static final String SIP_SCHEME = "sip:";
 
     private final List<String> classNames;
-    private final ReportFields reportFields;
+    private final LoadReportParser reportFields;
     private final double maxPatienceMs;
 
-    InviteParser(StartSettings settings) {
+    InviteParser(PlatformSettings settings) {
         classNames = settings.classNames();
-        maxPatienceMs = settings.settings(0).classes().stream()
+        maxPatienceMs = settings.moduleSettings(0).classes().stream()
                 .mapToDouble(c -> c.deadline().orElse(MAX_TIMER_MS))
                 .max()
                 .orElse(MAX_TIMER_MS);
-        reportFields = new ReportFields(settings.reportFields(), ';');
+        reportFields = new LoadReportParser(settings.reportFields(), ';');
     }
 
     /** The longest that a caller of any class waits for an answer, in milliseconds. */
@@ -33,7 +33,7 @@
         return maxPatienceMs;
     }
 
-    ReportFields reportFields() {
+    LoadReportParser reportFields() {
         return reportFields;
     }
 
--- a/src/main/java/damsonseam/node/NodeConfig.java
+++ b/src/main/java/damsonseam/node/NodeConfig.java
@@ -5,7 +5,7 @@
 import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.Endpoint;
 import damsonseam.config.SettingsException;
-import damsonseam.settings.StartSettings;
+import damsonseam.settings.PlatformSettings;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -35,7 +35,7 @@
         int memoryMb,
         Endpoint coordinator,
         List<ServerListUpdate> knownUpdates,
-        StartSettings settings) {
+        PlatformSettings settings) {
     /** Octets of the file at the most: it is read whole. */
     private static final int MAX_FILE_BYTES = 4 << 20;
 
@@ -67,7 +67,8 @@
                 limits.path("memory_mb").asInt(0),
                 Endpoint.parse(require(root, "coordinator").asText()),
                 parseUpdates(root.path("known").path("updates")),
-                new StartSettings(paths, expected -> new IllegalArgumentException("settings: expected " + expected)));
+                new PlatformSettings(
+                        paths, expected -> new IllegalArgumentException("settings: expected " + expected)));
     }
 
     private static JsonNode require(JsonNode root, String key) {
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -4,12 +4,12 @@
 import damsonseam.RoutingPolicy.CallClass;
 import damsonseam.RoutingPolicy.PolicySettings;
 import damsonseam.core.CallTable;
+import damsonseam.core.CallTracer;
 import damsonseam.core.Counters;
 import damsonseam.core.Router;
 import damsonseam.core.RouterSettings;
-import damsonseam.core.Story;
 import damsonseam.loop.CallLog;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.EventLoop;
@@ -52,7 +52,7 @@
 
     private final NodeConfig config;
     private final MultiThreadIoEventLoopGroup group;
-    private final Loop loop;
+    private final CoreLoop loop;
     private final PendingReleases pendingReleases;
     private final CallRegistry callRegistry;
     private final ServerEndpoints serverEndpoints;
@@ -67,10 +67,10 @@
     private NodeServer(NodeConfig config) {
         this.config = config;
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        loop = new Loop((EventLoop) group.next(), TICK_MS);
+        loop = new CoreLoop((EventLoop) group.next(), TICK_MS);
         pendingReleases = new PendingReleases(loop);
         callRegistry = new CallRegistry(pendingReleases);
-        PolicySettings moduleSettings = config.settings().settings(config.seed());
+        PolicySettings moduleSettings = config.settings().moduleSettings(config.seed());
         classes = moduleSettings.classes();
         InviteParser inviteParser = new InviteParser(config.settings());
         int maxServerConnections = Math.min(MAX_SERVER_CONNECTIONS, config.maxSockets() / SERVER_DESCRIPTOR_DIVISOR);
@@ -92,7 +92,7 @@
                 this::isReady);
         coordinator = new CoordinatorClient(loop, serverEndpoints, config.coordinator(), config.seed());
         int maxOpenCalls = Math.min(
-                config.settings().mostHeld().orElse(DEFAULT_MAX_OPEN_CALLS),
+                config.settings().maxHeldCalls().orElse(DEFAULT_MAX_OPEN_CALLS),
                 config.memoryMb() > 0 ? config.memoryMb() * CALLS_PER_MB : DEFAULT_MAX_OPEN_CALLS);
         router = new Router(
                 new RouterSettings(moduleSettings, maxOpenCalls, TICK_MS, RELEASE_WRITE_TIMEOUT_MS, ANSWER_MARGIN_MS),
@@ -104,7 +104,9 @@
                 },
                 serverEndpoints,
                 coordinator,
-                LoggerFactory.getLogger(CallLog.NAME).isInfoEnabled() ? new CallLog(config.name()) : Story.NONE);
+                LoggerFactory.getLogger(CallLog.LOGGER_NAME).isInfoEnabled()
+                        ? new CallLog(config.name())
+                        : CallTracer.NONE);
     }
 
     /** Starts a front node; returns when its port is open. */
@@ -126,8 +128,8 @@
             serverEndpoints.start(router);
             callerListener.start(router);
             coordinator.start(router, config.knownUpdates());
-            loop.start(this::tick, () -> router.settle(loop.now()));
-            loop.kick();
+            loop.start(this::tick, () -> router.endBatch(loop.now()));
+            loop.scheduleBatchEnd();
             return null;
         });
         callerListener.bind(config.listen().toSocketAddress());
@@ -144,7 +146,7 @@
             LOG.atInfo().addKeyValue("ms", Math.round(now - lastTickMs)).log("stood still");
         }
         lastTickMs = now;
-        router.beat(now);
+        router.onTick(now);
     }
 
     private boolean isReady() {
@@ -183,7 +185,7 @@
     }
 
     private int pendingAnswers() {
-        return callOnLoop(() -> router.owed());
+        return callOnLoop(() -> router.unansweredCalls());
     }
 
     /** Calls of callers, those that stand included. */
@@ -203,7 +205,7 @@
 
     /** Number of the last change of the list. */
     long serverListVersion() {
-        return callOnLoop(() -> router.pool().version());
+        return callOnLoop(() -> router.serverList().version());
     }
 
     /**
@@ -229,15 +231,15 @@
     ConsistencyCounts consistencyCounts() {
         return callOnLoop(() -> new ConsistencyCounts(
                 callRegistry.size(),
-                router.open(),
-                router.owed(),
+                router.openCalls(),
+                router.unansweredCalls(),
                 serverEndpoints.attempts(),
                 serverEndpoints.carriedAttempts(),
                 serverEndpoints.establishedCalls(),
                 callRegistry.establishedAtCallers()));
     }
 
-    Loop loop() {
+    CoreLoop loop() {
         return loop;
     }
 
--- a/src/main/java/damsonseam/node/Shutdown.java
+++ b/src/main/java/damsonseam/node/Shutdown.java
@@ -2,7 +2,7 @@
 
 import damsonseam.RoutingPolicy.CallClass;
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.slf4j.Logger;
@@ -27,7 +27,7 @@
     private static final double CLOSE_TIMEOUT_MS = 200;
     private static final double CHECK_INTERVAL_MS = 10;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final Router router;
     private final CallerListener callerListener;
     private final ServerEndpoints serverEndpoints;
@@ -38,7 +38,7 @@
     private double closingAtMs;
 
     Shutdown(
-            Loop loop,
+            CoreLoop loop,
             Router router,
             CallerListener callerListener,
             ServerEndpoints serverEndpoints,
@@ -72,7 +72,7 @@
             scheduleCheck(now);
         } else {
             // What has come to the sockets in the meantime is taken first.
-            loop.afterReads(() -> {
+            loop.runAfterReads(() -> {
                 if (elapsedMs >= giveUpAfterMs || isIdle(loop.now())) {
                     beginClosing(loop.now());
                 }
@@ -82,12 +82,12 @@
     }
 
     private void scheduleCheck(double now) {
-        loop.timers().set(now + CHECK_INTERVAL_MS, this::check);
+        loop.timers().schedule(now + CHECK_INTERVAL_MS, this::check);
     }
 
     /** Whether nothing is owed, and nothing that a caller has sent waits to be read. */
     private boolean isIdle(double now) {
-        return router.owed() == 0
+        return router.unansweredCalls() == 0
                 && pendingReleases.awaitingConfirmation() == 0
                 && callerListener.isAccepting()
                 && now - callerListener.lastActivityMs() > 2 * CHECK_INTERVAL_MS;
@@ -96,11 +96,11 @@
     private void beginClosing(double now) {
         closingAtMs = now;
         LOG.atInfo()
-                .addKeyValue("owed", router.owed())
+                .addKeyValue("owed", router.unansweredCalls())
                 .addKeyValue("releases", pendingReleases.size())
                 .addKeyValue("callers", callerListener.connectionCount())
                 .log("closing");
-        router.giveUpAll(now);
+        router.closeUnansweredCalls(now);
         // Before the callers: a release that a server says from now on is for whoever it connects with next.
         serverEndpoints.close();
         callerListener.finish();
