--- a/src/main/java/damsonseam/adapter/Main.java
+++ b/src/main/java/damsonseam/adapter/Main.java
@@ -7,7 +7,7 @@
 import java.io.OutputStreamWriter;
 import java.nio.charset.StandardCharsets;
 
-/** Command line of the adapter: batches of events on standard input, replies on standard output. */
+/** Command line of the adapter: reads batches of events from standard input, writes replies to standard output. */
 public final class Main {
 
     private Main() {}
--- a/src/main/java/damsonseam/adapter/ReplyWriter.java
+++ b/src/main/java/damsonseam/adapter/ReplyWriter.java
@@ -2,7 +2,7 @@
 
 import damsonseam.RoutingPolicy.PolicyActions;
 
-/** Writes the actions of one instance into the reply to the current batch. */
+/** Appends the actions that one instance requests to the reply to the current batch. */
 final class ReplyWriter implements PolicyActions {
     private final StringBuilder out;
     private final int instance;
@@ -12,78 +12,78 @@
         this.instance = instance;
     }
 
-    private StringBuilder action(String word) {
-        return out.append(word).append(' ').append(instance);
+    private StringBuilder appendAction(String name) {
+        return out.append(name).append(' ').append(instance);
     }
 
     @Override
-    public void sendSetUp(long call, String server, double abandonAt) {
-        action("issue")
+    public void sendSetUp(long callId, String serverId, double abandonAt) {
+        appendAction("issue")
                 .append(' ')
-                .append(call)
+                .append(callId)
                 .append(' ')
-                .append(server)
+                .append(serverId)
                 .append(' ')
-                .append(time(abandonAt))
+                .append(formatMs(abandonAt))
                 .append('\n');
     }
 
     @Override
-    public void refuseCall(long call, double returnAfter) {
-        action("overload_reply")
+    public void refuseCall(long callId, double retryAfter) {
+        appendAction("overload_reply")
                 .append(' ')
-                .append(call)
+                .append(callId)
                 .append(' ')
-                .append(time(returnAfter))
+                .append(formatMs(retryAfter))
                 .append('\n');
     }
 
     @Override
-    public void failCall(long call) {
-        action("fail").append(' ').append(call).append('\n');
+    public void failCall(long callId) {
+        appendAction("fail").append(' ').append(callId).append('\n');
     }
 
     @Override
-    public void cancelAttempt(long call, int attempt) {
-        action("stop_attempt")
+    public void cancelAttempt(long callId, int attempt) {
+        appendAction("stop_attempt")
                 .append(' ')
-                .append(call)
+                .append(callId)
                 .append(' ')
                 .append(attempt)
                 .append('\n');
     }
 
     @Override
-    public void startTimer(double after, long token) {
-        action("defer")
+    public void startTimer(double delay, long token) {
+        appendAction("defer")
                 .append(' ')
-                .append(time(after))
+                .append(formatMs(delay))
                 .append(' ')
                 .append(token)
                 .append('\n');
     }
 
     @Override
-    public void sendProbe(String server) {
-        action("check").append(' ').append(server).append('\n');
+    public void sendProbe(String serverId) {
+        appendAction("check").append(' ').append(serverId).append('\n');
     }
 
     @Override
     public void fetchServerList() {
-        action("get_list").append('\n');
+        appendAction("get_list").append('\n');
     }
 
     @Override
     public void followServerList() {
-        action("keep_informed").append(" 1\n");
+        appendAction("keep_informed").append(" 1\n");
     }
 
-    /** The wire counts in microseconds: plain decimals, rounded there. */
-    private static String time(double ms) {
+    /** Formats milliseconds as a plain decimal, rounded to whole microseconds. */
+    private static String formatMs(double ms) {
         long micros = Math.round(ms * 1000);
         String sign = micros < 0 ? "-" : "";
-        long size = Math.abs(micros);
-        String part = Long.toString(1000 + size % 1000).substring(1);
-        return sign + size / 1000 + "." + part;
+        long magnitude = Math.abs(micros);
+        String fraction = Long.toString(1000 + magnitude % 1000).substring(1);
+        return sign + magnitude / 1000 + "." + fraction;
     }
 }
--- a/src/main/java/damsonseam/adapter/WireAdapter.java
+++ b/src/main/java/damsonseam/adapter/WireAdapter.java
@@ -23,21 +23,29 @@
 import java.util.OptionalDouble;
 import java.util.Set;
 
-/** Reads batches of events, hands each event to its instance, and writes one reply a batch. */
+/**
+ * Runs routing policies for a simulator over a text protocol. It reads batches of events, passes each event to the
+ * policy instance that it names, and writes one reply per batch with the actions of all instances. Confined to one
+ * thread.
+ */
 final class WireAdapter {
-    private static final int REDIALLED = 2;
-    private static final int IN_TRANSIT = 8;
-    private static final int NOTE_BITS = 16;
-    private static final int NOTE_BEYOND_FULL = 18;
+    /** Bits of the flags of an offered call. */
+    private static final int FLAG_REDIALLED = 2;
 
-    private record Instance(RoutingPolicy front, LoadReportParser reportFields) {}
+    private static final int FLAG_IN_TRANSIT = 8;
+    /** A reason code is the reject reason plus this many times the server's retry-after time in milliseconds. */
+    private static final int REASON_CODE_BASE = 16;
+    /** Reason code that stands outside that rule. */
+    private static final int CODE_BEYOND_FULL = 18;
+
+    private record Instance(RoutingPolicy policy, LoadReportParser reportParser) {}
 
     private final BufferedReader in;
     private final Writer out;
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final Map<Integer, List<ServerEntry>> lists = new HashMap<>();
-    /** The instances that had an event in this batch, in the order of their first. */
-    private final Set<Integer> touched = new LinkedHashSet<>();
+    private final Map<Integer, List<ServerEntry>> serverLists = new HashMap<>();
+    /** Ids of the instances that had an event in this batch, in the order of their first one. */
+    private final Set<Integer> activeInstances = new LinkedHashSet<>();
 
     private final StringBuilder reply = new StringBuilder();
     private long lineNumber;
@@ -49,234 +57,238 @@
     }
 
     void run() throws IOException {
-        for (WireLineReader line = next(); line != null; line = next()) {
-            if (!line.word("turn").equals("turn")) {
-                throw line.wrong("turn");
+        for (WireLineReader line = nextLine(); line != null; line = nextLine()) {
+            if (!line.readToken("turn").equals("turn")) {
+                throw line.formatError("turn");
             }
-            double time = line.number("the clock");
-            line.end();
+            double time = line.readDouble("the clock");
+            line.expectEnd();
             if (time < now) {
-                throw line.wrong("a clock that does not run backwards");
+                throw line.formatError("a clock not earlier than the last one");
             }
             now = time;
-            touched.clear();
-            batch();
-            touched.forEach(number -> settle(instances.get(number)));
+            activeInstances.clear();
+            readBatch();
+            activeInstances.forEach(instanceId -> endBatch(instances.get(instanceId)));
             out.append(reply).append("done\n");
             out.flush();
             reply.setLength(0);
         }
     }
 
-    private void settle(Instance instance) {
+    private void endBatch(Instance instance) {
         if (instance != null) {
-            instance.front().onBatchEnd(now);
+            instance.policy().onBatchEnd(now);
         }
     }
 
-    private WireLineReader next() throws IOException {
+    private WireLineReader nextLine() throws IOException {
         String text = in.readLine();
         lineNumber++;
         return text == null ? null : new WireLineReader(text, lineNumber);
     }
 
-    private WireLineReader must(String expected) throws IOException {
-        WireLineReader line = next();
+    private WireLineReader requireLine(String expected) throws IOException {
+        WireLineReader line = nextLine();
         if (line == null) {
             throw new WireFormatException("line " + lineNumber + ": expected " + expected + ", found the end of input");
         }
         return line;
     }
 
-    private void batch() throws IOException {
+    private void readBatch() throws IOException {
         while (true) {
-            WireLineReader line = must("an event or flush");
-            String word = line.word("an event or flush");
-            if (word.equals("flush")) {
-                line.end();
+            WireLineReader line = requireLine("an event or flush");
+            String eventName = line.readToken("an event or flush");
+            if (eventName.equals("flush")) {
+                line.expectEnd();
                 return;
             }
-            event(word, line);
+            handleEvent(eventName, line);
         }
     }
 
-    private void event(String word, WireLineReader line) throws IOException {
-        switch (word) {
-            case "boot" -> boot(line);
-            case "manifest" -> list(line);
-            case "roster_change" -> listChange(line);
-            case "order" -> order(line);
+    private void handleEvent(String eventName, WireLineReader line) throws IOException {
+        switch (eventName) {
+            case "boot" -> handleBoot(line);
+            case "manifest" -> handleServerList(line);
+            case "roster_change" -> handleServerListUpdate(line);
+            case "order" -> handleCallOffered(line);
             case "streaming" -> {
-                RoutingPolicy front = instance(line).front();
-                long id = line.whole("the call");
-                String server = line.word("the server");
-                double delay = line.number("the delay");
-                front.onCallEstablished(now, id, server, line.small("the attempt"), delay);
-                line.end();
+                RoutingPolicy policy = instance(line).policy();
+                long callId = line.readLong("the call");
+                String serverId = line.readToken("the server");
+                double delay = line.readDouble("the delay");
+                policy.onCallEstablished(now, callId, serverId, line.readInt("the attempt"), delay);
+                line.expectEnd();
             }
             case "stop" -> {
-                int number = line.small("the instance");
-                line.end();
-                if (instances.remove(number) == null) {
-                    throw line.wrong("a running instance");
+                int instanceId = line.readInt("the instance");
+                line.expectEnd();
+                if (instances.remove(instanceId) == null) {
+                    throw line.formatError("a running instance");
                 }
             }
             case "gone" -> {
-                RoutingPolicy front = instance(line).front();
-                long id = line.whole("the call");
-                line.end();
-                front.onCallAbandoned(now, id);
+                RoutingPolicy policy = instance(line).policy();
+                long callId = line.readLong("the call");
+                line.expectEnd();
+                policy.onCallAbandoned(now, callId);
             }
-            case "result" -> result(line);
-            case "pong" -> pong(line);
+            case "result" -> handleAttemptOutcome(line);
+            case "pong" -> handleProbeResult(line);
             case "datagram" -> {
-                RoutingPolicy front = instance(line).front();
-                int from = line.small("the sender");
-                front.onMessage(now, from, bytes(line));
+                RoutingPolicy policy = instance(line).policy();
+                int from = line.readInt("the sender");
+                policy.onMessage(now, from, readBytes(line));
             }
             case "tick_due" -> {
-                RoutingPolicy front = instance(line).front();
-                long token = line.whole("the timer");
-                line.end();
-                front.onTimer(now, token);
+                RoutingPolicy policy = instance(line).policy();
+                long token = line.readLong("the timer");
+                line.expectEnd();
+                policy.onTimer(now, token);
             }
-            default -> throw line.wrong("a known event");
+            default -> throw line.formatError("a known event");
         }
     }
 
-    private void boot(WireLineReader line) {
-        int number = line.small("the instance");
-        long seed = line.whole("the seed");
-        PlatformSettings start = PlatformSettings.parse(line.rest(), line::wrong);
-        RoutingPolicy front = new CongestionControlPolicy(start.moduleSettings(seed), new ReplyWriter(reply, number));
-        instances.put(number, new Instance(front, new LoadReportParser(start.reportFields(), ',')));
+    private void handleBoot(WireLineReader line) {
+        int instanceId = line.readInt("the instance");
+        long seed = line.readLong("the seed");
+        PlatformSettings settings = PlatformSettings.parse(line.readRest(), line::formatError);
+        RoutingPolicy policy =
+                new CongestionControlPolicy(settings.moduleSettings(seed), new ReplyWriter(reply, instanceId));
+        instances.put(instanceId, new Instance(policy, new LoadReportParser(settings.reportFields(), ',')));
     }
 
     private Instance instance(WireLineReader line) {
-        int number = line.small("the instance");
-        Instance instance = instances.get(number);
+        int instanceId = line.readInt("the instance");
+        Instance instance = instances.get(instanceId);
         if (instance == null) {
-            throw line.wrong("a running instance");
+            throw line.formatError("a running instance");
         }
-        touched.add(number);
+        activeInstances.add(instanceId);
         return instance;
     }
 
-    private void list(WireLineReader line) throws IOException {
-        int number = line.small("the list number");
-        int count = line.small("the number of entries");
-        line.end();
+    private void handleServerList(WireLineReader line) throws IOException {
+        int listNumber = line.readInt("the list number");
+        int count = line.readInt("the number of entries");
+        line.expectEnd();
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            entries.add(entry(must("an item")));
+            entries.add(readEntry(requireLine("an item")));
         }
-        lists.put(number, entries);
+        serverLists.put(listNumber, entries);
     }
 
-    private static ServerEntry entry(WireLineReader line) {
-        if (!line.word("item").equals("item")) {
-            throw line.wrong("item");
+    private static ServerEntry readEntry(WireLineReader line) {
+        if (!line.readToken("item").equals("item")) {
+            throw line.formatError("item");
         }
-        String server = line.word("the server");
-        OptionalDouble launched = line.optional("the start time");
-        line.optional("the machine kind");
-        int cell = (int) line.optional("the pool number").orElse(-1);
-        line.optional("the zone");
-        line.optional("the scale");
+        String serverId = line.readToken("the server");
+        OptionalDouble startedAt = line.readOptionalDouble("the start time");
+        line.readOptionalDouble("the machine kind");
+        int index = (int) line.readOptionalDouble("the pool index").orElse(-1);
+        line.readOptionalDouble("the zone");
+        line.readOptionalDouble("the scale");
         ServerState state =
-                switch (line.word("the health")) {
+                switch (line.readToken("the health")) {
                     case "on" -> ServerState.RUNNING;
                     case "fading" -> ServerState.DRAINING;
                     case "off" -> ServerState.GONE;
-                    default -> throw line.wrong("on, fading or off");
+                    default -> throw line.formatError("on, fading or off");
                 };
-        line.end();
-        boolean longAgo = launched.isEmpty() || launched.getAsDouble() == 0;
-        return new ServerEntry(server, cell, longAgo ? OptionalDouble.empty() : launched, state);
+        line.expectEnd();
+        boolean startUnknown = startedAt.isEmpty() || startedAt.getAsDouble() == 0;
+        return new ServerEntry(serverId, index, startUnknown ? OptionalDouble.empty() : startedAt, state);
     }
 
-    private void listChange(WireLineReader line) {
-        RoutingPolicy front = instance(line).front();
-        String kind = line.word("the kind of news");
-        line.optional("the version");
+    private void handleServerListUpdate(WireLineReader line) {
+        RoutingPolicy policy = instance(line).policy();
+        String kind = line.readToken("the kind of update");
+        line.readOptionalDouble("the version");
         if (kind.equals("error")) {
-            line.rest();
-            front.onServerListFailure(now);
+            line.readRest();
+            policy.onServerListFailure(now);
             return;
         }
-        List<ServerEntry> entries = lists.get(line.small("the list number"));
-        line.end();
+        List<ServerEntry> entries = serverLists.get(line.readInt("the list number"));
+        line.expectEnd();
         if (entries == null) {
-            throw line.wrong("a list number seen before");
+            throw line.formatError("the number of a known list");
         }
         switch (kind) {
-            case "diff" -> front.onServerListUpdate(now, false, entries);
-            case "snapshot", "disk" -> front.onServerListUpdate(now, true, entries);
-            default -> throw line.wrong("diff, snapshot, disk or error");
+            case "diff" -> policy.onServerListUpdate(now, false, entries);
+            case "snapshot", "disk" -> policy.onServerListUpdate(now, true, entries);
+            default -> throw line.formatError("diff, snapshot, disk or error");
         }
     }
 
-    private void order(WireLineReader line) {
-        RoutingPolicy front = instance(line).front();
-        long id = line.whole("the call");
-        line.optional("the tenant");
-        String key = line.word("the key");
-        line.optional("the circuits");
-        line.optional("the work");
-        int callClass = line.small("the class");
-        line.optional("the tandem");
-        double timeLeft = line.number("the time left");
-        int bits = line.small("the marks");
-        OptionalDouble dest = line.optional("the destination");
-        line.end();
-        front.onCallOffered(
+    private void handleCallOffered(WireLineReader line) {
+        RoutingPolicy policy = instance(line).policy();
+        long callId = line.readLong("the call");
+        line.readOptionalDouble("the tenant");
+        String number = line.readToken("the key");
+        line.readOptionalDouble("the circuits");
+        line.readOptionalDouble("the work");
+        int callClass = line.readInt("the class");
+        line.readOptionalDouble("the tandem");
+        double timeLeft = line.readDouble("the time left");
+        int flags = line.readInt("the flags");
+        OptionalDouble firstChoiceIndex = line.readOptionalDouble("the destination");
+        line.expectEnd();
+        policy.onCallOffered(
                 now,
                 new Call(
-                        id,
-                        key,
+                        callId,
+                        number,
                         callClass,
-                        (int) dest.orElse(-1),
+                        (int) firstChoiceIndex.orElse(-1),
                         timeLeft,
-                        (bits & REDIALLED) != 0,
-                        (bits & IN_TRANSIT) != 0));
+                        (flags & FLAG_REDIALLED) != 0,
+                        (flags & FLAG_IN_TRANSIT) != 0));
     }
 
-    private void result(WireLineReader line) {
+    private void handleAttemptOutcome(WireLineReader line) {
         Instance instance = instance(line);
-        long id = line.whole("the call");
-        int attempt = line.small("the attempt");
-        double delay = line.optional("the delay").orElse(0);
-        int code = (int) line.optional("the note").orElse(0);
-        String server = line.word("the server");
-        boolean last = line.flag("last");
-        AttemptStatus how = how(line);
-        ServerLoadReport report = report(instance, line);
-        boolean beyond = code == NOTE_BEYOND_FULL;
+        long callId = line.readLong("the call");
+        int attempt = line.readInt("the attempt");
+        double delay = line.readOptionalDouble("the delay").orElse(0);
+        int code = (int) line.readOptionalDouble("the reason code").orElse(0);
+        String serverId = line.readToken("the server");
+        boolean terminal = line.readFlag("last");
+        AttemptStatus status = readStatus(line);
+        ServerLoadReport report = readLoadReport(instance, line);
+        boolean beyondFull = code == CODE_BEYOND_FULL;
         RejectReason reason =
-                switch (beyond ? 2 : code % NOTE_BITS) {
+                switch (beyondFull ? 2 : code % REASON_CODE_BASE) {
                     case 1 -> RejectReason.NO_LINE;
                     case 2 -> RejectReason.BEYOND_FULL;
                     case 3 -> RejectReason.PROCESSOR_FULL;
                     case 4 -> RejectReason.NUMBER_BUSY;
                     default -> RejectReason.NONE;
                 };
-        int wait = beyond ? 0 : code / NOTE_BITS;
-        OptionalDouble told = wait > 0 ? OptionalDouble.of(wait) : OptionalDouble.empty();
-        instance.front()
-                .onAttemptOutcome(now, new AttemptOutcome(id, server, attempt, delay, how, reason, told, last, report));
+        int retryAfterMs = beyondFull ? 0 : code / REASON_CODE_BASE;
+        OptionalDouble retryAfter = retryAfterMs > 0 ? OptionalDouble.of(retryAfterMs) : OptionalDouble.empty();
+        instance.policy()
+                .onAttemptOutcome(
+                        now,
+                        new AttemptOutcome(
+                                callId, serverId, attempt, delay, status, reason, retryAfter, terminal, report));
     }
 
-    private void pong(WireLineReader line) {
+    private void handleProbeResult(WireLineReader line) {
         Instance instance = instance(line);
-        String server = line.word("the server");
-        boolean ok = how(line) == AttemptStatus.COMPLETED;
-        double delay = line.optional("the delay").orElse(0);
-        ServerLoadReport report = report(instance, line);
-        instance.front().onProbeResult(now, server, !ok || delay > 0, ok, delay, report);
+        String serverId = line.readToken("the server");
+        boolean completed = readStatus(line) == AttemptStatus.COMPLETED;
+        double delay = line.readOptionalDouble("the delay").orElse(0);
+        ServerLoadReport report = readLoadReport(instance, line);
+        instance.policy().onProbeResult(now, serverId, !completed || delay > 0, completed, delay, report);
     }
 
-    private static AttemptStatus how(WireLineReader line) {
-        return switch (line.word("an outcome")) {
+    private static AttemptStatus readStatus(WireLineReader line) {
+        return switch (line.readToken("an outcome")) {
             case "ok" -> AttemptStatus.COMPLETED;
             case "error" -> AttemptStatus.ERROR;
             case "full" -> AttemptStatus.FULL;
@@ -285,21 +297,21 @@
             case "reset" -> AttemptStatus.RESET;
             case "cancelled" -> AttemptStatus.CANCELLED;
             case "moot" -> AttemptStatus.NOT_SENT;
-            default -> throw line.wrong("a known outcome");
+            default -> throw line.formatError("a known outcome");
         };
     }
 
-    private static ServerLoadReport report(Instance instance, WireLineReader line) {
-        return instance.reportFields().parse(line.rest(), line::wrong);
+    private static ServerLoadReport readLoadReport(Instance instance, WireLineReader line) {
+        return instance.reportParser().parse(line.readRest(), line::formatError);
     }
 
-    private static byte[] bytes(WireLineReader line) {
-        String hex = line.word("the bytes");
-        line.end();
+    private static byte[] readBytes(WireLineReader line) {
+        String hex = line.readToken("the bytes");
+        line.expectEnd();
         try {
             return hex.equals("-") ? new byte[0] : HexFormat.of().parseHex(hex);
         } catch (IllegalArgumentException e) {
-            throw line.wrong("bytes as hex digits");
+            throw line.formatError("bytes as hex digits");
         }
     }
 }
--- a/src/main/java/damsonseam/adapter/WireLineReader.java
+++ b/src/main/java/damsonseam/adapter/WireLineReader.java
@@ -2,91 +2,98 @@
 
 import java.util.OptionalDouble;
 
-/** One line of the wire, read from left to right. */
+/**
+ * Reads one line of the adapter's protocol from left to right. Tokens are separated by single spaces. Each read method
+ * takes the name of the expected value for the error message.
+ */
 final class WireLineReader {
     private final String text;
-    private final long number;
-    private int at;
+    private final long lineNumber;
+    private int position;
 
-    WireLineReader(String text, long number) {
+    WireLineReader(String text, long lineNumber) {
         this.text = text;
-        this.number = number;
+        this.lineNumber = lineNumber;
     }
 
-    WireFormatException wrong(String expected) {
-        return new WireFormatException("line " + number + ": expected " + expected + ", found: " + text);
+    /** Returns an exception that names the line and what was expected there. */
+    WireFormatException formatError(String expected) {
+        return new WireFormatException("line " + lineNumber + ": expected " + expected + ", found: " + text);
     }
 
-    /** The next value; the line must have one. */
-    String word(String name) {
-        if (at >= text.length()) {
-            throw wrong(name);
+    /** Returns the next token, which must be present. */
+    String readToken(String name) {
+        if (position >= text.length()) {
+            throw formatError(name);
         }
-        int space = text.indexOf(' ', at);
+        int space = text.indexOf(' ', position);
         int end = space < 0 ? text.length() : space;
-        String word = text.substring(at, end);
-        if (word.isEmpty()) {
-            throw wrong(name);
+        String token = text.substring(position, end);
+        if (token.isEmpty()) {
+            throw formatError(name);
         }
-        at = end + 1;
-        return word;
+        position = end + 1;
+        return token;
     }
 
-    /** The rest of the line, empty when there is none. */
-    String rest() {
-        String rest = at >= text.length() ? "" : text.substring(at);
-        at = text.length();
+    /** Returns the rest of the line, empty if there is none. */
+    String readRest() {
+        String rest = position >= text.length() ? "" : text.substring(position);
+        position = text.length();
         return rest;
     }
 
-    void end() {
-        if (at < text.length()) {
-            throw wrong("the end of the line");
+    /** Checks that nothing is left of the line. */
+    void expectEnd() {
+        if (position < text.length()) {
+            throw formatError("the end of the line");
         }
     }
 
-    OptionalDouble optional(String name) {
-        String word = word(name);
-        return word.equals("-") ? OptionalDouble.empty() : OptionalDouble.of(decimal(word, name));
+    /** Returns the next token as a number, or empty if it is a hyphen. */
+    OptionalDouble readOptionalDouble(String name) {
+        String token = readToken(name);
+        return token.equals("-") ? OptionalDouble.empty() : OptionalDouble.of(parseDouble(token, name));
     }
 
-    double number(String name) {
-        return decimal(word(name), name);
+    double readDouble(String name) {
+        return parseDouble(readToken(name), name);
     }
 
-    int small(String name) {
-        long value = whole(name);
+    int readInt(String name) {
+        long value = readLong(name);
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
-            throw wrong(name);
+            throw formatError(name);
         }
         return (int) value;
     }
 
-    long whole(String name) {
+    long readLong(String name) {
         try {
-            return Long.parseLong(word(name));
+            return Long.parseLong(readToken(name));
         } catch (NumberFormatException e) {
-            throw wrong(name + " as a whole number");
+            throw formatError(name + " as a whole number");
         }
     }
 
-    boolean flag(String name) {
-        String word = word(name);
-        if (!word.equals("0") && !word.equals("1")) {
-            throw wrong(name + " as 0 or 1");
+    /** Returns the next token as a flag, which is 0 or 1. */
+    boolean readFlag(String name) {
+        String token = readToken(name);
+        if (!token.equals("0") && !token.equals("1")) {
+            throw formatError(name + " as 0 or 1");
         }
-        return word.equals("1");
+        return token.equals("1");
     }
 
-    double decimal(String word, String name) {
+    double parseDouble(String token, String name) {
         try {
-            double value = Double.parseDouble(word);
+            double value = Double.parseDouble(token);
             if (Double.isFinite(value)) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            throw wrong(name + " as a number");
+            throw formatError(name + " as a number");
         }
-        throw wrong(name + " as a finite number");
+        throw formatError(name + " as a finite number");
     }
 }
--- a/src/test/java/damsonseam/adapter/WireAdapterTest.java
+++ b/src/test/java/damsonseam/adapter/WireAdapterTest.java
@@ -123,7 +123,7 @@
         malformed("order 0 7 0 line-k 1 - 0 -1 3000.0 0", "the destination");
         malformed("gone 0 7 8", "the end of the line");
         malformed("gone 5 7", "a running instance");
-        malformed("roster_change 0 diff 1 9", "a list number seen before");
+        malformed("roster_change 0 diff 1 9", "the number of a known list");
         malformed("result 0 7 0 18.5 - server.a 1 fine -", "a known outcome");
         malformed("datagram 0 1 6g", "bytes as hex digits");
         assertThrows(WireFormatException.class, () -> run("turn 5\nflush\nturn 4\nflush\n"));
