--- a/src/main/java/damsonseam/core/Router.java
+++ b/src/main/java/damsonseam/core/Router.java
@@ -1,12 +1,12 @@
 package damsonseam.core;
 
-import damsonseam.Front;
-import damsonseam.Front.Actions;
-import damsonseam.Front.Call;
-import damsonseam.Front.Ending;
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy;
+import damsonseam.RoutingPolicy.AttemptOutcome;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.Call;
+import damsonseam.RoutingPolicy.PolicyActions;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import damsonseam.core.CallRecord.Phase;
 import damsonseam.core.RouterPorts.Caller;
 import damsonseam.core.RouterPorts.SendFailure;
@@ -26,12 +26,12 @@
  * answer, has at most one pending attempt, holds a circuit from set-up to release, and is answered before its
  * caller's deadline even if neither the module nor a lookup responds. Decisions about closed calls are ignored.
  */
-public final class Router implements Actions {
+public final class Router implements PolicyActions {
     /** Maximum decision rounds in a batch. Another round follows only if the module's last one caused new events. */
     private static final int MAX_DECISION_ROUNDS = 64;
 
     private final RouterSettings settings;
-    private final Front module;
+    private final RoutingPolicy module;
     private final CallTable calls;
     private final TimerWheel timers;
     private final ServerList serverList = new ServerList();
@@ -59,7 +59,7 @@
      */
     public Router(
             RouterSettings settings,
-            Function<Actions, Front> module,
+            Function<PolicyActions, RoutingPolicy> module,
             CallTable calls,
             TimerWheel timers,
             RouterPorts.NumberLookup lookup,
@@ -115,7 +115,7 @@
         advanceClock(at);
         for (int round = 0; batchOpen && round < MAX_DECISION_ROUNDS; round++) {
             batchOpen = false;
-            module.settled(now);
+            module.onBatchEnd(now);
             for (Runnable event = deferredEvents.poll(); event != null; event = deferredEvents.poll()) {
                 event.run();
             }
@@ -192,7 +192,7 @@
             finishCall(
                     call,
                     FinalAnswer.refused(
-                            settings.module().maxReturnAdvice().orElse(0),
+                            settings.module().maxRetryAfter().orElse(0),
                             draining ? "front is closing" : "call table full"));
             return null;
         }
@@ -208,7 +208,7 @@
 
     private void offerToModule(CallRecord call, int firstChoice, List<Integer> serverIndexes) {
         call.startTrying();
-        module.offered(
+        module.onCallOffered(
                 now,
                 new Call(
                         call.id(),
@@ -230,7 +230,7 @@
             return;
         }
         counters.failedAtDeadline++;
-        abandonCall(call, Result.TIMED_OUT);
+        abandonCall(call, AttemptStatus.TIMED_OUT);
         finishCall(call, FinalAnswer.failed("no answer in time"));
     }
 
@@ -241,7 +241,7 @@
             return;
         }
         if (call.phase() == Phase.TRYING) {
-            abandonCall(call, Result.CANCELLED);
+            abandonCall(call, AttemptStatus.CANCELLED);
         }
         call.takeCaller();
         finishCall(call, FinalAnswer.failed("caller left"));
@@ -251,23 +251,23 @@
      * Releases an unanswered call and reports the outcome of its pending attempt. Every attempt needs an outcome, even
      * if its call closes first: the module takes a set-up without one for a sign of an unresponsive server.
      */
-    private void abandonCall(CallRecord call, Result result) {
+    private void abandonCall(CallRecord call, AttemptStatus result) {
         boolean attemptPending = call.hasPendingAttempt();
-        releaseAttempt(call, result == Result.TIMED_OUT);
-        module.left(now, call.id());
+        releaseAttempt(call, result == AttemptStatus.TIMED_OUT);
+        module.onCallAbandoned(now, call.id());
         if (attemptPending) {
-            module.ended(
+            module.onAttemptOutcome(
                     now,
-                    new Ending(
+                    new AttemptOutcome(
                             call.id(),
                             call.server(),
                             call.attempts() - 1,
                             now - call.sentAt(),
                             result,
-                            Reason.NONE,
+                            RejectReason.NONE,
                             OptionalDouble.empty(),
                             true,
-                            Report.NONE));
+                            ServerLoadReport.NONE));
         }
         markBatchOpen();
     }
@@ -322,7 +322,7 @@
     // ---- Attempts ---------------------------------------------------------------------------------------
 
     /** Handles a positive answer to an attempt: the call is established. Answers of ended attempts are ignored. */
-    public void callEstablished(double at, long id, int attempt, Report report) {
+    public void callEstablished(double at, long id, int attempt, ServerLoadReport report) {
         advanceClock(at);
         CallRecord call = calls.get(id);
         if (call == null
@@ -335,7 +335,7 @@
             // After a pause of the loop, an answer may be read before the overdue attempt timer has fired. It is too
             // late: the caller has given up.
             counters.timedOut++;
-            giveUpAttempt(call, attempt, Result.TIMED_OUT);
+            giveUpAttempt(call, attempt, AttemptStatus.TIMED_OUT);
             return;
         }
         timers.cancel(call.replaceAttemptTimer(null));
@@ -343,17 +343,23 @@
         call.establish();
         adjustUnanswered(call, -1);
         // The load report is carried in the answer, but the module expects it as a report of the server.
-        if (!report.equals(Report.NONE)) {
-            module.probed(now, call.server(), false, true, 0, report);
+        if (!report.equals(ServerLoadReport.NONE)) {
+            module.onProbeResult(now, call.server(), false, true, 0, report);
         }
-        module.stands(now, id, call.server(), attempt, now - call.sentAt());
+        module.onCallEstablished(now, id, call.server(), attempt, now - call.sentAt());
         markBatchOpen();
         deliverAnswer(call, call.takeCaller(), FinalAnswer.established(call.server()));
     }
 
     /** Handles the end of an attempt or of the call it established, by the server or by loss of its connection. */
     public void attemptEnded(
-            double at, long id, int attempt, Result result, Reason reason, OptionalDouble advisedWait, Report report) {
+            double at,
+            long id,
+            int attempt,
+            AttemptStatus result,
+            RejectReason reason,
+            OptionalDouble advisedWait,
+            ServerLoadReport report) {
         advanceClock(at);
         CallRecord call = calls.get(id);
         if (call == null
@@ -365,7 +371,12 @@
     }
 
     private void endAttempt(
-            CallRecord call, int attempt, Result result, Reason reason, OptionalDouble advisedWait, Report report) {
+            CallRecord call,
+            int attempt,
+            AttemptStatus result,
+            RejectReason reason,
+            OptionalDouble advisedWait,
+            ServerLoadReport report) {
         boolean callEnded = call.phase() == Phase.ESTABLISHED;
         double duration = (call.releaseOutcome() == null ? now : call.releaseStartedAt()) - call.sentAt();
         timers.cancel(call.replaceAttemptTimer(null));
@@ -373,9 +384,9 @@
             call.endAttempt();
         }
         tracer.traceStep(now, call, "ended", call.server() + " " + result);
-        module.ended(
+        module.onAttemptOutcome(
                 now,
-                new Ending(
+                new AttemptOutcome(
                         call.id(), call.server(), attempt, duration, result, reason, advisedWait, callEnded, report));
         markBatchOpen();
         if (callEnded) {
@@ -390,9 +401,9 @@
      * almost certainly has, the release. Otherwise a set-up to another server could overtake a release that meets a
      * longer network delay.
      */
-    private void giveUpAttempt(CallRecord call, int attempt, Result result) {
+    private void giveUpAttempt(CallRecord call, int attempt, AttemptStatus result) {
         call.startRelease(result, now);
-        advanceClock(signalling.sendRelease(now, call.server(), call.id(), attempt, result == Result.TIMED_OUT));
+        advanceClock(signalling.sendRelease(now, call.server(), call.id(), attempt, result == AttemptStatus.TIMED_OUT));
         timers.cancel(call.replaceAttemptTimer(timers.schedule(now + settings.releaseTimeoutMs(), at -> {
             counters.unconfirmedReleases++;
             releaseConfirmed(at, call.id(), attempt);
@@ -407,7 +418,13 @@
                 && call.hasPendingAttempt()
                 && call.releaseOutcome() != null
                 && call.isCurrentAttempt(attempt)) {
-            endAttempt(call, attempt, call.releaseOutcome(), Reason.NONE, OptionalDouble.empty(), Report.NONE);
+            endAttempt(
+                    call,
+                    attempt,
+                    call.releaseOutcome(),
+                    RejectReason.NONE,
+                    OptionalDouble.empty(),
+                    ServerLoadReport.NONE);
         }
     }
 
@@ -427,7 +444,7 @@
         advanceClock(at);
         ServerList.UpdateResult update = serverList.applyUpdate(version, full, servers);
         if (update.full() || !update.entries().isEmpty()) {
-            module.serverList(now, update.full(), update.entries());
+            module.onServerListUpdate(now, update.full(), update.entries());
             markBatchOpen();
         }
         return update.versionGap();
@@ -436,7 +453,7 @@
     /** Handles a directory that could not be reached or closed its stream; the current list remains in use. */
     public void directoryFailed(double at) {
         advanceClock(at);
-        module.listFailed(now);
+        module.onServerListFailure(now);
         markBatchOpen();
     }
 
@@ -447,16 +464,16 @@
      * @param delay time from the probe to its answer, in milliseconds
      */
     public void probeCompleted(
-            double at, String server, boolean solicited, boolean answered, double delay, Report report) {
+            double at, String server, boolean solicited, boolean answered, double delay, ServerLoadReport report) {
         advanceClock(at);
-        module.probed(now, server, solicited, answered, delay, report);
+        module.onProbeResult(now, server, solicited, answered, delay, report);
         markBatchOpen();
     }
 
     // ---- Actions requested by the decision module -------------------------------------------------------
 
     @Override
-    public void send(long id, String server, double abandonAt) {
+    public void sendSetUp(long id, String server, double abandonAt) {
         CallRecord call = calls.get(id);
         if (call == null || call.phase() != Phase.TRYING) {
             return;
@@ -468,7 +485,13 @@
         if (failure != null) {
             counters.notSent++;
             deferredEvents.add(() -> attemptEnded(
-                    now, id, attempt, failure.result(), failure.reason(), OptionalDouble.empty(), Report.NONE));
+                    now,
+                    id,
+                    attempt,
+                    failure.result(),
+                    failure.reason(),
+                    OptionalDouble.empty(),
+                    ServerLoadReport.NONE));
             return;
         }
         counters.setUps++;
@@ -477,13 +500,13 @@
             advanceClock(at);
             if (call.hasPendingAttempt() && call.releaseOutcome() == null && call.isCurrentAttempt(attempt)) {
                 counters.timedOut++;
-                giveUpAttempt(call, attempt, Result.TIMED_OUT);
+                giveUpAttempt(call, attempt, AttemptStatus.TIMED_OUT);
             }
         }));
     }
 
     @Override
-    public void refuse(long id, double retryAfterMs) {
+    public void refuseCall(long id, double retryAfterMs) {
         CallRecord call = calls.get(id);
         if (call != null && call.phase() == Phase.TRYING) {
             releaseAttempt(call, false);
@@ -492,7 +515,7 @@
     }
 
     @Override
-    public void fail(long id) {
+    public void failCall(long id) {
         CallRecord call = calls.get(id);
         if (call != null && call.phase() == Phase.TRYING) {
             releaseAttempt(call, false);
@@ -501,7 +524,7 @@
     }
 
     @Override
-    public void cancel(long id, int attempt) {
+    public void cancelAttempt(long id, int attempt) {
         CallRecord call = calls.get(id);
         if (call != null
                 && call.hasPendingAttempt()
@@ -511,33 +534,33 @@
             deferredEvents.add(() -> {
                 if (call.hasPendingAttempt() && call.releaseOutcome() == null && call.isCurrentAttempt(attempt)) {
                     counters.cancelled++;
-                    giveUpAttempt(call, attempt, Result.CANCELLED);
+                    giveUpAttempt(call, attempt, AttemptStatus.CANCELLED);
                 }
             });
         }
     }
 
     @Override
-    public void timer(double delay, long token) {
+    public void startTimer(double delay, long token) {
         timers.schedule(now + delay, at -> {
             advanceClock(at);
-            module.timer(now, token);
+            module.onTimer(now, token);
             markBatchOpen();
         });
     }
 
     @Override
-    public void probe(String server) {
+    public void sendProbe(String server) {
         signalling.sendProbe(now, server);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchServerList() {
         directory.requestServerList();
     }
 
     @Override
-    public void followList() {
+    public void followServerList() {
         directory.subscribeToUpdates();
     }
 
@@ -552,13 +575,13 @@
         draining = true;
         for (CallRecord call : List.copyOf(calls.snapshot())) {
             if (call.phase() == Phase.TRYING && call.hasPendingAttempt()) {
-                abandonCall(call, Result.CANCELLED);
+                abandonCall(call, AttemptStatus.CANCELLED);
                 finishCall(call, FinalAnswer.failed("front is closing"));
             } else if (call.phase() != Phase.ESTABLISHED && call.phase() != Phase.CLOSED) {
-                module.left(now, call.id());
+                module.onCallAbandoned(now, call.id());
                 finishCall(
                         call,
-                        FinalAnswer.refused(settings.module().maxReturnAdvice().orElse(0), "front is closing"));
+                        FinalAnswer.refused(settings.module().maxRetryAfter().orElse(0), "front is closing"));
             }
         }
         markBatchOpen();
--- a/src/main/java/damsonseam/settings/LoadReportParser.java
+++ b/src/main/java/damsonseam/settings/LoadReportParser.java
@@ -1,6 +1,6 @@
 package damsonseam.settings;
 
-import damsonseam.Front.Report;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -28,9 +28,9 @@
      *
      * @param errorFactory creates the exception for malformed input from a phrase that says what was expected
      */
-    public Report parse(String text, Function<String, RuntimeException> errorFactory) {
+    public ServerLoadReport parse(String text, Function<String, RuntimeException> errorFactory) {
         if (text.isEmpty() || text.equals("-")) {
-            return Report.NONE;
+            return ServerLoadReport.NONE;
         }
         Map<String, OptionalDouble> values = new HashMap<>();
         for (int start = 0; start <= text.length(); ) {
@@ -47,7 +47,7 @@
                 values.put(name, parseValue(pair.substring(colon + 1), name, errorFactory));
             }
         }
-        return new Report(
+        return new ServerLoadReport(
                 value(values, "spare"),
                 value(values, "total"),
                 value(values, "svc_ms"),
--- a/src/test/java/damsonseam/sim/SimFront.java
+++ b/src/test/java/damsonseam/sim/SimulatedFront.java
@@ -1,10 +1,10 @@
 package damsonseam.sim;
 
-import damsonseam.Decide;
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.State;
+import damsonseam.CongestionControlPolicy;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.config.TimeSpan;
@@ -55,7 +55,7 @@
  * with an authority and calculators that do as they are told. A millisecond is a turn of its loop; what comes
  * in one millisecond comes in one turn, before the beat, as on the real loop.
  */
-public final class SimFront implements RouterPorts.ServerSignalling, RouterPorts.Directory {
+public final class SimulatedFront implements RouterPorts.ServerSignalling, RouterPorts.Directory {
     /** The domain of the numbers. */
     public static final Name SUFFIX = E164Name.suffix("e164.example.org");
     /** How long a release complete is awaited, in milliseconds. */
@@ -111,7 +111,7 @@
     private double beatAt = now;
 
     /** Starts with these calculators running, with circuits to spare. */
-    public SimFront start(String... servers) {
+    public SimulatedFront start(String... servers) {
         FrontSettings s = settings();
         router = new Router(
                 new RouterSettings(
@@ -120,7 +120,7 @@
                         FrontSettings.TICK_MS,
                         RELEASE_WAIT,
                         FrontSettings.ANSWER_SLACK_MS),
-                a -> new Decide(s.moduleSettings(3), a),
+                a -> new CongestionControlPolicy(s.moduleSettings(3), a),
                 new CallTable(mostCalls, 1),
                 timers,
                 (call, number, deadline) -> {
@@ -158,7 +158,7 @@
         service = new EnumService(SUFFIX, s.numberPlan(), router, new Transactions(200_000, 3_000), 50);
         List<ServerList.Server> list = new ArrayList<>();
         for (String server : servers) {
-            list.add(server(server, list.size(), State.RUNNING, OptionalDouble.empty()));
+            list.add(server(server, list.size(), ServerState.RUNNING, OptionalDouble.empty()));
             groups.put(server, group(server));
         }
         router.serverListUpdated(now, ++version, true, list);
@@ -187,7 +187,7 @@
                 null);
     }
 
-    private static ServerList.Server server(String id, int number, State state, OptionalDouble started) {
+    private static ServerList.Server server(String id, int number, ServerState state, OptionalDouble started) {
         return new ServerList.Server(id, number, "127.0.0.1:1", 100 + number, state, started);
     }
 
@@ -201,7 +201,7 @@
                     }
 
                     @Override
-                    public void stands(double at, long call, int attempt, Report report) {
+                    public void stands(double at, long call, int attempt, ServerLoadReport report) {
                         router.callEstablished(at, call, attempt, report);
                     }
 
@@ -210,10 +210,10 @@
                             double at,
                             long call,
                             int attempt,
-                            Result result,
-                            Reason reason,
+                            AttemptStatus result,
+                            RejectReason reason,
                             OptionalDouble toldWait,
-                            Report report) {
+                            ServerLoadReport report) {
                         router.attemptEnded(at, call, attempt, result, reason, toldWait, report);
                     }
 
@@ -270,7 +270,7 @@
     }
 
     /** News of the directory. */
-    public void news(String id, int number, State state, OptionalDouble started) {
+    public void news(String id, int number, ServerState state, OptionalDouble started) {
         router.serverListUpdated(now, ++version, false, List.of(server(id, number, state, started)));
     }
 
@@ -382,11 +382,11 @@
     public RouterPorts.SendFailure sendSetUp(
             double at, String server, long call, int attempt, double until, CallRecord record) {
         if (unreachable.contains(server)) {
-            return new RouterPorts.SendFailure(Result.UNREACHABLE, Reason.NONE);
+            return new RouterPorts.SendFailure(AttemptStatus.UNREACHABLE, RejectReason.NONE);
         }
         return groups.get(server).setUp(call, attempt, record.number(), 10)
                 ? null
-                : new RouterPorts.SendFailure(Result.FULL, Reason.NO_LINE);
+                : new RouterPorts.SendFailure(AttemptStatus.FULL, RejectReason.NO_LINE);
     }
 
     @Override
@@ -398,7 +398,7 @@
     @Override
     public void sendProbe(double at, String server) {
         boolean answers = !unreachable.contains(server);
-        later(1, () -> router.probeCompleted(now, server, true, answers, 1, Report.NONE));
+        later(1, () -> router.probeCompleted(now, server, true, answers, 1, ServerLoadReport.NONE));
     }
 
     @Override
