--- a/src/test/java/damsonseam/ArchitectureTest.java
+++ b/src/test/java/damsonseam/ArchitectureTest.java
@@ -8,10 +8,10 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** Imports point one way, and what decides does no I/O and reads no clock. */
+/** Guards the direction of dependencies between packages, and that decision code does no I/O and reads no clock. */
 @AnalyzeClasses(packages = "damsonseam", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
-    private static final String[] ABOVE_CORE = {
+    private static final String[] PACKAGES_ABOVE_CORE = {
         "damsonseam.dns..",
         "damsonseam.ss7..",
         "damsonseam.sip..",
@@ -31,7 +31,7 @@
     };
 
     @ArchTest
-    static final ArchRule POLICY_DEPENDS_ON_NOTHING = classes()
+    static final ArchRule POLICY_DEPENDS_ON_JDK_ONLY = classes()
             .that()
             .resideInAPackage("damsonseam")
             .should()
@@ -39,26 +39,26 @@
             .resideInAnyPackage("damsonseam", "java.lang..", "java.util..");
 
     @ArchTest
-    static final ArchRule CORE_KNOWS_NOTHING_ABOVE = noClasses()
+    static final ArchRule CORE_DOES_NOT_DEPEND_ON_UPPER_LAYERS = noClasses()
             .that()
             .resideInAPackage("damsonseam.core..")
             .should()
             .dependOnClassesThat()
-            .resideInAnyPackage(ABOVE_CORE);
+            .resideInAnyPackage(PACKAGES_ABOVE_CORE);
 
     @ArchTest
-    static final ArchRule OVERLOAD_KNOWS_NO_OTHER_PART = noClasses()
+    static final ArchRule OVERLOAD_DOES_NOT_DEPEND_ON_OTHER_PACKAGES = noClasses()
             .that()
             .resideInAPackage("damsonseam.overload..")
             .should()
             .dependOnClassesThat()
-            .resideInAnyPackage(ABOVE_CORE)
+            .resideInAnyPackage(PACKAGES_ABOVE_CORE)
             .orShould()
             .dependOnClassesThat()
             .resideInAnyPackage("damsonseam", "damsonseam.core..");
 
     @ArchTest
-    static final ArchRule PROTOCOLS_KNOW_NO_FRONT = noClasses()
+    static final ArchRule PROTOCOLS_DO_NOT_DEPEND_ON_FRONTS = noClasses()
             .that()
             .resideInAnyPackage("damsonseam.dns..", "damsonseam.ss7..", "damsonseam.sip..")
             .should()
@@ -73,9 +73,9 @@
                     "damsonseam.config..",
                     "damsonseam.settings..");
 
-    /** Messages alone: on Netty's buffers, without channels of its own, the core or the module. */
+    /** The SIP package encodes and decodes messages on Netty buffers; it opens no channels and knows no call logic. */
     @ArchTest
-    static final ArchRule SIP_KNOWS_MESSAGES_ONLY = classes()
+    static final ArchRule SIP_DEPENDS_ON_NETTY_BUFFERS_ONLY = classes()
             .that()
             .resideInAPackage("damsonseam.sip..")
             .should()
@@ -90,7 +90,7 @@
                     "java.nio.charset..");
 
     @ArchTest
-    static final ArchRule NODE_KNOWS_NO_OTHER_FRONT = noClasses()
+    static final ArchRule NODE_DOES_NOT_DEPEND_ON_ENUM_FRONT = noClasses()
             .that()
             .resideInAnyPackage("damsonseam.node..", "damsonseam.settings..", "damsonseam.loop..")
             .should()
@@ -105,7 +105,7 @@
                     "damsonseam.ss7..");
 
     @ArchTest
-    static final ArchRule FRONT_KNOWS_NO_STAND_IN = noClasses()
+    static final ArchRule FRONT_DOES_NOT_DEPEND_ON_STAND_INS = noClasses()
             .that()
             .resideInAPackage("damsonseam.front..")
             .should()
@@ -113,7 +113,7 @@
             .resideInAnyPackage("damsonseam.standin..", "damsonseam.audit..", "damsonseam.day..", "damsonseam.cli..");
 
     @ArchTest
-    static final ArchRule NOTHING_HANGS_ON_THE_COMMAND_LINE = noClasses()
+    static final ArchRule NOTHING_DEPENDS_ON_COMMAND_LINE = noClasses()
             .that()
             .resideOutsideOfPackage("damsonseam.cli..")
             .should()
@@ -121,7 +121,7 @@
             .resideInAPackage("damsonseam.cli..");
 
     @ArchTest
-    static final ArchRule NO_IO_WHERE_DECISIONS_ARE = noClasses()
+    static final ArchRule DECISION_CODE_DOES_NO_IO = noClasses()
             .that()
             .resideInAnyPackage(
                     "damsonseam", "damsonseam.core..", "damsonseam.dns..", "damsonseam.ss7..", "damsonseam.overload..")
@@ -136,7 +136,7 @@
                     "java.util.concurrent.locks..");
 
     @ArchTest
-    static final ArchRule NO_CLOCK_WHERE_DECISIONS_ARE = noClasses()
+    static final ArchRule DECISION_CODE_READS_NO_CLOCK = noClasses()
             .that()
             .resideInAnyPackage(
                     "damsonseam", "damsonseam.core..", "damsonseam.dns..", "damsonseam.ss7..", "damsonseam.overload..")
@@ -151,7 +151,7 @@
             .areAssignableTo(Thread.class);
 
     @ArchTest
-    static final ArchRule ADAPTER_LOADS_NO_LIBRARY = classes()
+    static final ArchRule ADAPTER_DEPENDS_ON_JDK_ONLY = classes()
             .that()
             .resideInAPackage("damsonseam.adapter..")
             .should()
@@ -159,7 +159,7 @@
             .resideInAnyPackage("damsonseam", "damsonseam.adapter..", "damsonseam.settings..", "java..");
 
     @ArchTest
-    static final ArchRule SETTINGS_LOAD_NO_LIBRARY = classes()
+    static final ArchRule SETTINGS_DEPEND_ON_JDK_ONLY = classes()
             .that()
             .resideInAPackage("damsonseam.settings..")
             .should()
--- a/src/test/java/damsonseam/CodecFuzzTest.java
+++ b/src/test/java/damsonseam/CodecFuzzTest.java
@@ -19,33 +19,34 @@
 import org.xbill.DNS.Section;
 
 /**
- * Coverage-guided fuzzing of each codec: nothing but its own error may come out, and what was read reads back the
- * same. In CI each runs on its seeds only; {@code bench/fuzz} lets each search for a minute.
+ * Coverage-guided fuzzing of each codec: malformed input may raise only the codec's own exception, and a decoded
+ * message must survive encoding and decoding again. In CI each test runs on its seeds only; {@code bench/fuzz} lets
+ * each search for one minute.
  */
 class CodecFuzzTest {
 
     @FuzzTest(maxDuration = "1m")
-    void m3ua(byte[] octets) {
+    void m3ua(byte[] bytes) {
         try {
-            M3ua message = M3ua.decode(octets);
-            M3ua again = M3ua.decode(message.encode());
-            if (again.kind() != message.kind()
-                    || again.parameters().size() != message.parameters().size()) {
-                throw new IllegalStateException("reads back otherwise");
+            M3ua message = M3ua.decode(bytes);
+            M3ua reread = M3ua.decode(message.encode());
+            if (reread.kind() != message.kind()
+                    || reread.parameters().size() != message.parameters().size()) {
+                throw new IllegalStateException("message differs after encoding and decoding");
             }
             isup(ProtocolData.of(message).isup());
         } catch (SignallingException e) {
-            // The codec's own word.
+            // The codec rejects the input.
         }
     }
 
     @FuzzTest(maxDuration = "1m")
-    void isup(byte[] octets) {
+    void isup(byte[] bytes) {
         try {
-            Isup message = Isup.decode(octets);
-            byte[] written = message.encode();
-            if (!Arrays.equals(written, Isup.decode(written).encode())) {
-                throw new IllegalStateException("reads back otherwise");
+            Isup message = Isup.decode(bytes);
+            byte[] encoded = message.encode();
+            if (!Arrays.equals(encoded, Isup.decode(encoded).encode())) {
+                throw new IllegalStateException("message differs after encoding and decoding");
             }
             IsupMessages.cause(message);
             IsupMessages.congestionLevel(message);
@@ -55,14 +56,14 @@
                 Digits.decode(message.value(Isup.CALLED_NUMBER));
             }
         } catch (SignallingException e) {
-            // The codec's own word.
+            // The codec rejects the input.
         }
     }
 
     @FuzzTest(maxDuration = "1m")
-    void dns(byte[] octets) {
+    void dns(byte[] bytes) {
         try {
-            var message = DnsCodec.decode(octets);
+            var message = DnsCodec.decode(bytes);
             CallHints.of(message.getOPT());
             List<Record> answers = message.getSection(Section.ANSWER);
             NaptrRules.servers(
@@ -72,7 +73,7 @@
                             .map(r -> (NAPTRRecord) r)
                             .toList());
         } catch (DnsFormatException e) {
-            // The codec's own word.
+            // The codec rejects the input.
         }
     }
 }
--- a/src/test/java/damsonseam/PolicyScript.java
+++ b/src/test/java/damsonseam/PolicyScript.java
@@ -197,7 +197,7 @@
         policy.onBatchEnd(now);
     }
 
-    /** Crosses answer and cancel: the call is established, then its attempt is cancelled and its answer pending again. */
+    /** Crosses answer and cancel: the call is established, then cancelled, and its answer is pending again. */
     void establishThenCancel(long callId) {
         Attempt attempt = pendingAttempts.get(callId);
         establish(callId, now - attempt.sentAt);
--- a/src/test/java/damsonseam/dns/EnumServiceTest.java
+++ b/src/test/java/damsonseam/dns/EnumServiceTest.java
@@ -30,7 +30,7 @@
     private final SimulatedFront front = new SimulatedFront().start("s0");
 
     private Message ask(Message query) {
-        front.octets("desk", query.toWire());
+        front.sendBytes("desk", query.toWire());
         front.run(100);
         return front.replies.get(front.replies.size() - 1).message();
     }
@@ -100,23 +100,23 @@
     void halfAMessageIsAFormatErrorWithItsIdAndAnAnswerIsNeverAnswered() {
         byte[] whole = query(name(NUMBER), Type.NAPTR, DClass.IN).toWire();
         byte[] half = java.util.Arrays.copyOf(whole, whole.length - 9);
-        front.octets("desk", half);
+        front.sendBytes("desk", half);
         Message answer = front.replies.get(0).message();
         assertEquals(Rcode.FORMERR, answer.getRcode());
         assertEquals(77, answer.getHeader().getID());
         whole[2] |= (byte) 0x80;
-        front.octets("desk", whole);
-        front.octets("desk", new byte[] {1, 2, 3});
+        front.sendBytes("desk", whole);
+        front.sendBytes("desk", new byte[] {1, 2, 3});
         assertEquals(1, front.replies.size());
     }
 
     @Test
     void theCallersOwnTimeShortensTheCall() {
-        front.modes.put("s0", SimulatedFront.Mode.SILENT);
+        front.behaviours.put("s0", SimulatedFront.ServerBehaviour.SILENT);
         Message query = query(name(NUMBER), Type.NAPTR, DClass.IN);
         query.addRecord(new OPTRecord(1232, 0, 0, 0, List.of(new CallHints(true, 500).option())), Section.ADDITIONAL);
         double asked = front.now;
-        front.octets("desk", query.toWire());
+        front.sendBytes("desk", query.toWire());
         front.run(1_000);
         assertEquals(1, front.replies.size());
         assertTrue(front.replies.get(0).at() <= asked + 500);
@@ -125,10 +125,10 @@
     @Test
     void aRefusalCarriesTheAdvisedWait() {
         SimulatedFront full = new SimulatedFront();
-        full.mostCalls = 1;
+        full.maxCalls = 1;
         full.start("s0");
-        full.ask("a", 1, NUMBER);
-        full.ask("b", 2, "59821000000002");
+        full.sendQuery("a", 1, NUMBER);
+        full.sendQuery("b", 2, "59821000000002");
         Message refused = full.replies.get(0).message();
         assertEquals(Rcode.REFUSED, refused.getRcode());
         assertEquals(2_000, CallHints.of(refused.getOPT()).time());
@@ -151,7 +151,7 @@
     @Property(tries = 2_000)
     void anyOctetsAreBorne(@ForAll @Size(max = 100) byte[] octets) {
         SimulatedFront any = SHARED;
-        any.octets("fuzz", octets);
+        any.sendBytes("fuzz", octets);
         any.run(1);
         any.replies.clear();
     }
@@ -164,7 +164,7 @@
         ask(query);
         ask(query);
         assertEquals(2, front.replies.size());
-        assertArrayEquals(front.replies.get(0).octets(), front.replies.get(1).octets());
+        assertArrayEquals(front.replies.get(0).bytes(), front.replies.get(1).bytes());
         assertEquals(1, front.setUps(null).size());
         front.run(4_000);
         ask(query);
--- a/src/test/java/damsonseam/sim/SimulatedFront.java
+++ b/src/test/java/damsonseam/sim/SimulatedFront.java
@@ -51,53 +51,53 @@
 import org.xbill.DNS.Type;
 
 /**
- * A whole front without sockets on a clock of its own: core, module, ENUM service, resolver and trunk groups,
- * with an authority and calculators that do as they are told. A millisecond is a turn of its loop; what comes
- * in one millisecond comes in one turn, before the beat, as on the real loop.
+ * A complete ENUM front without sockets on a simulated clock: router, routing policy, ENUM service, resolver and trunk
+ * groups, with a simulated DNS authority and calculators whose behaviour tests set. One event-loop iteration takes one
+ * millisecond; events of the same millisecond are handled in one iteration, before the tick, as on the real loop.
  */
 public final class SimulatedFront implements RouterPorts.ServerSignalling, RouterPorts.Directory {
-    /** The domain of the numbers. */
+    /** DNS suffix of the numbers. */
     public static final Name SUFFIX = E164Name.suffix("e164.example.org");
-    /** How long a release complete is awaited, in milliseconds. */
-    public static final double RELEASE_WAIT = 100;
+    /** Time for which the front waits for a release complete message, in milliseconds. */
+    public static final double RELEASE_WAIT_MS = 100;
 
-    /** What a calculator does with a set-up. */
-    public enum Mode {
+    /** How a calculator responds to a set-up. */
+    public enum ServerBehaviour {
         ANSWER,
         SILENT,
-        TURN_AWAY
+        REJECT
     }
 
-    /** A message to a calculator. */
-    public record Sent(double at, String server, Isup message) {}
-
-    /** An answer to a caller. */
-    public record Reply(double at, Object to, Message message, byte[] octets) {}
-
-    private record Event(double at, long order, Runnable what) {}
-
-    /** The settings; tests may change limits before {@link #start}. */
-    public int mostCalls = 100_000;
-    /** Time from a question to the authority's answer; negative: none comes. */
-    public double dnsDelay = 2;
-    /** Time from a set-up to its answer. */
-    public double answerDelay = 10;
-    /** Whether calculators' release completes are lost. */
-    public boolean losesCompletes;
-    /** Time from a release to its completion, there and back. */
-    public double completeDelay = 1;
-    /** What each calculator does; by default it answers. */
-    public final Map<String, Mode> modes = new HashMap<>();
-    /** All that went to calculators. */
-    public final List<Sent> sent = new ArrayList<>();
-    /** All that went to callers. */
+    /** A message sent to a calculator. */
+    public record SentMessage(double at, String serverId, Isup message) {}
+
+    /** An answer sent to a caller. */
+    public record Reply(double at, Object caller, Message message, byte[] bytes) {}
+
+    private record Event(double at, long order, Runnable action) {}
+
+    /** Capacity of the call table; tests may change it before {@link #start}. */
+    public int maxCalls = 100_000;
+    /** Time from a query to the authority's answer, in milliseconds; if negative, there is no answer. */
+    public double dnsDelayMs = 2;
+    /** Time from a set-up to its answer, in milliseconds. */
+    public double answerDelayMs = 10;
+    /** Whether the release complete messages of calculators are lost. */
+    public boolean losesReleaseCompletes;
+    /** Round-trip time from a release to its completion, in milliseconds. */
+    public double releaseCompleteDelayMs = 1;
+    /** Behaviour of each calculator; by default it answers. */
+    public final Map<String, ServerBehaviour> behaviours = new HashMap<>();
+    /** All messages sent to calculators. */
+    public final List<SentMessage> sent = new ArrayList<>();
+    /** All answers sent to callers. */
     public final List<Reply> replies = new ArrayList<>();
     /** Calculators whose connection is down. */
-    public final List<String> unreachable = new ArrayList<>();
-    /** The clock. */
+    public final List<String> unreachableServers = new ArrayList<>();
+    /** Current time, in milliseconds. */
     public double now = 1_000;
-    /** How often the directory was asked for the whole list. */
-    public int fetches;
+    /** Number of requests and subscriptions for the server list. */
+    public int serverListRequests;
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Double.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
@@ -106,22 +106,22 @@
     private Router router;
     private EnumService service;
     private Resolver resolver;
-    private long order;
-    private long version;
-    private double beatAt = now;
+    private long nextEventOrder;
+    private long serverListVersion;
+    private double lastTickAt = now;
 
-    /** Starts with these calculators running, with circuits to spare. */
+    /** Starts the front with these calculators running and with enough circuits. */
     public SimulatedFront start(String... servers) {
-        FrontSettings s = settings();
+        FrontSettings settings = settings();
         router = new Router(
                 new RouterSettings(
-                        s.moduleSettings(3),
-                        mostCalls,
+                        settings.moduleSettings(3),
+                        maxCalls,
                         FrontSettings.TICK_MS,
-                        RELEASE_WAIT,
+                        RELEASE_WAIT_MS,
                         FrontSettings.ANSWER_SLACK_MS),
-                a -> new CongestionControlPolicy(s.moduleSettings(3), a),
-                new CallTable(mostCalls, 1),
+                actions -> new CongestionControlPolicy(settings.moduleSettings(3), actions),
+                new CallTable(maxCalls, 1),
                 timers,
                 (call, number, deadline) -> {
                     resolver.clock(now);
@@ -140,14 +140,18 @@
                 new Resolver.Output() {
                     @Override
                     public void udp(int authority, int socket, byte[] question) {
-                        if (dnsDelay >= 0) {
-                            later(dnsDelay, () -> resolver.answer(now, authority, socket, found(question)));
+                        if (dnsDelayMs >= 0) {
+                            schedule(
+                                    dnsDelayMs,
+                                    () -> resolver.answer(now, authority, socket, authorityAnswer(question)));
                         }
                     }
 
                     @Override
                     public void tcp(int authority, byte[] question) {
-                        later(dnsDelay, () -> resolver.answer(now, authority, Resolver.STREAM, found(question)));
+                        schedule(
+                                dnsDelayMs,
+                                () -> resolver.answer(now, authority, Resolver.STREAM, authorityAnswer(question)));
                     }
 
                     @Override
@@ -155,18 +159,18 @@
                         router.lookupCompleted(at, call, candidates);
                     }
                 });
-        service = new EnumService(SUFFIX, s.numberPlan(), router, new Transactions(200_000, 3_000), 50);
-        List<ServerList.Server> list = new ArrayList<>();
-        for (String server : servers) {
-            list.add(server(server, list.size(), ServerState.RUNNING, OptionalDouble.empty()));
-            groups.put(server, group(server));
+        service = new EnumService(SUFFIX, settings.numberPlan(), router, new Transactions(200_000, 3_000), 50);
+        List<ServerList.Server> serverList = new ArrayList<>();
+        for (String serverId : servers) {
+            serverList.add(server(serverId, serverList.size(), ServerState.RUNNING, OptionalDouble.empty()));
+            groups.put(serverId, createTrunkGroup(serverId));
         }
-        router.serverListUpdated(now, ++version, true, list);
+        router.serverListUpdated(now, ++serverListVersion, true, serverList);
         run(20);
         return this;
     }
 
-    /** The settings of the front. */
+    /** Returns the settings of the front. */
     public static FrontSettings settings() {
         return new FrontSettings(
                 new FrontSettings.Identity("sim", 1, 3L),
@@ -187,17 +191,17 @@
                 null);
     }
 
-    private static ServerList.Server server(String id, int number, ServerState state, OptionalDouble started) {
-        return new ServerList.Server(id, number, "127.0.0.1:1", 100 + number, state, started);
+    private static ServerList.Server server(String id, int index, ServerState state, OptionalDouble startedAt) {
+        return new ServerList.Server(id, index, "127.0.0.1:1", 100 + index, state, startedAt);
     }
 
-    private TrunkGroup group(String server) {
+    private TrunkGroup createTrunkGroup(String serverId) {
         TrunkGroup group = new TrunkGroup(
                 new CircuitAllocator(4_000, true), timers, TrunkGroup.Times.Q764, 1, new TrunkGroup.Output() {
                     @Override
                     public void send(Isup message) {
-                        sent.add(new Sent(now, server, message));
-                        react(server, message);
+                        sent.add(new SentMessage(now, serverId, message));
+                        respond(serverId, message);
                     }
 
                     @Override
@@ -226,97 +230,97 @@
         return group;
     }
 
-    private void react(String server, Isup message) {
-        Mode mode = modes.getOrDefault(server, Mode.ANSWER);
+    private void respond(String serverId, Isup message) {
+        ServerBehaviour behaviour = behaviours.getOrDefault(serverId, ServerBehaviour.ANSWER);
         int circuit = message.circuit();
-        if (message.type() == Isup.Type.IAM && mode == Mode.ANSWER) {
-            later(answerDelay, () -> from(server, Isup.of(circuit, Isup.Type.ANM)));
-        } else if (message.type() == Isup.Type.IAM && mode == Mode.TURN_AWAY) {
-            later(answerDelay, () -> from(server, IsupMessages.release(circuit, Isup.SWITCH_CONGESTION)));
-        } else if ((message.type() == Isup.Type.REL || message.type() == Isup.Type.RSC) && !losesCompletes) {
-            later(completeDelay, () -> from(server, Isup.of(circuit, Isup.Type.RLC)));
+        if (message.type() == Isup.Type.IAM && behaviour == ServerBehaviour.ANSWER) {
+            schedule(answerDelayMs, () -> receive(serverId, Isup.of(circuit, Isup.Type.ANM)));
+        } else if (message.type() == Isup.Type.IAM && behaviour == ServerBehaviour.REJECT) {
+            schedule(answerDelayMs, () -> receive(serverId, IsupMessages.release(circuit, Isup.SWITCH_CONGESTION)));
+        } else if ((message.type() == Isup.Type.REL || message.type() == Isup.Type.RSC) && !losesReleaseCompletes) {
+            schedule(releaseCompleteDelayMs, () -> receive(serverId, Isup.of(circuit, Isup.Type.RLC)));
         }
     }
 
-    // ---- What tests do ----------------------------------------------------------------------------------
+    // ---- Stimuli ----------------------------------------------------------------------------------------
 
-    /** Something that happens after so many milliseconds. */
-    public void later(double after, Runnable what) {
-        events.add(new Event(now + after, order++, what));
+    /** Schedules an action after a delay in milliseconds. */
+    public void schedule(double delay, Runnable action) {
+        events.add(new Event(now + delay, nextEventOrder++, action));
     }
 
-    /** A message comes from a calculator. */
-    public void from(String server, Isup message) {
-        groups.get(server).received(now, message);
+    /** Receives a message from a calculator. */
+    public void receive(String serverId, Isup message) {
+        groups.get(serverId).received(now, message);
     }
 
-    /** A caller asks for a number now. */
-    public void ask(Object source, int id, String number) {
+    /** Sends a caller's query for a number. */
+    public void sendQuery(Object source, int id, String number) {
         Message query = new Message(id);
         query.addRecord(Record.newRecord(E164Name.of(number, SUFFIX), Type.NAPTR, DClass.IN), Section.QUESTION);
         query.addRecord(new OPTRecord(DnsCodec.SAFE_UDP, 0, 0), Section.ADDITIONAL);
-        octets(source, query.toWire());
+        sendBytes(source, query.toWire());
     }
 
-    /** A caller sends octets. */
-    public void octets(Object source, byte[] octets) {
-        service.question(now, source, false, router.maxReadAge(now), octets, EnumService.Gate.OPEN, answer -> {
+    /** Sends a caller's datagram. */
+    public void sendBytes(Object source, byte[] bytes) {
+        service.question(now, source, false, router.maxReadAge(now), bytes, EnumService.Gate.OPEN, answer -> {
             try {
                 replies.add(new Reply(now, source, DnsCodec.decode(answer), answer));
             } catch (DnsFormatException e) {
-                throw new AssertionError("the front sent what is no message", e);
+                throw new AssertionError("the front sent a malformed DNS message", e);
             }
         });
     }
 
-    /** News of the directory. */
-    public void news(String id, int number, ServerState state, OptionalDouble started) {
-        router.serverListUpdated(now, ++version, false, List.of(server(id, number, state, started)));
+    /** Sends a server-list update of one server. */
+    public void updateServer(String id, int index, ServerState state, OptionalDouble startedAt) {
+        router.serverListUpdated(now, ++serverListVersion, false, List.of(server(id, index, state, startedAt)));
     }
 
-    /** A connection to a calculator is lost; it is not made again. */
-    public void cut(String server) {
-        unreachable.add(server);
-        groups.get(server).connectionLost(now);
+    /** Drops the connection to a calculator, which is not restored. */
+    public void disconnect(String serverId) {
+        unreachableServers.add(serverId);
+        groups.get(serverId).connectionLost(now);
     }
 
-    /** Time passes, a turn each millisecond. */
+    /** Advances the clock with one event-loop iteration per millisecond. */
     public void run(double ms) {
-        for (double until = now + ms; now < until; now += 1) {
-            turn();
+        for (double end = now + ms; now < end; now += 1) {
+            runIteration();
         }
     }
 
-    /** The loop stands still; what came in the meantime is read first when it turns again. */
-    public void stall(double ms) {
+    /** Pauses the event loop; the events of the pause are handled first in the next iteration. */
+    public void pause(double ms) {
         now += ms;
-        turn();
+        runIteration();
     }
 
-    private void turn() {
+    private void runIteration() {
         router.fireOverdueTimers(now);
         while (!events.isEmpty() && events.peek().at() <= now) {
-            events.poll().what().run();
+            events.poll().action().run();
         }
-        if (now - beatAt >= FrontSettings.TICK_MS) {
-            beatAt = now;
+        if (now - lastTickAt >= FrontSettings.TICK_MS) {
+            lastTickAt = now;
             router.onTick(now);
         }
         resolver.deliver(now);
         router.endBatch(now);
     }
 
-    // ---- What tests see ---------------------------------------------------------------------------------
+    // ---- Observations -----------------------------------------------------------------------------------
 
-    /** How a reply reads: stands SERVER, refused, failed, or its rcode. */
-    public static String kind(Reply reply) {
-        Message m = reply.message();
-        for (Record r : m.getSection(Section.ANSWER)) {
-            if (r instanceof NAPTRRecord rule) {
-                return "stands " + rule.getRegexp().replaceAll(".*@(.*)!", "$1");
+    /** Describes a reply: "established SERVER", "refused", "failed", or its rcode. */
+    public static String describe(Reply reply) {
+        Message message = reply.message();
+        for (Record record : message.getSection(Section.ANSWER)) {
+            if (record instanceof NAPTRRecord rule) {
+                return "established " + rule.getRegexp().replaceAll(".*@(.*)!", "$1");
             }
         }
-        OPTRecord opt = m.getOPT();
+        OPTRecord opt = message.getOPT();
         if (opt != null) {
             for (var option : opt.getOptions(15)) {
                 int code = ((ExtendedErrorCodeOption) option).getErrorCode();
@@ -325,19 +329,19 @@
                 }
             }
         }
-        return Rcode.string(m.getRcode());
+        return Rcode.string(message.getRcode());
     }
 
-    /** Set-ups sent, to one server or with null to all. */
-    public List<Sent> setUps(String server) {
+    /** Returns the set-ups sent to one server, or to all if it is null. */
+    public List<SentMessage> setUps(String serverId) {
         return sent.stream()
-                .filter(s -> s.message().type() == Isup.Type.IAM
-                        && (server == null || s.server().equals(server)))
+                .filter(settings -> settings.message().type() == Isup.Type.IAM
+                        && (serverId == null || settings.serverId().equals(serverId)))
                 .toList();
     }
 
-    /** The number that a set-up called. */
-    public static String number(Sent setUp) {
+    /** Returns the called number of a set-up. */
+    public static String calledNumber(SentMessage setUp) {
         try {
             return Digits.decode(setUp.message().value(Isup.CALLED_NUMBER));
         } catch (SignallingException e) {
@@ -345,31 +349,31 @@
         }
     }
 
-    /** The core. */
+    /** Returns the router. */
     public Router router() {
         return router;
     }
 
-    /** A trunk group. */
-    public TrunkGroup trunks(String server) {
-        return groups.get(server);
+    /** Returns the trunk group to a server. */
+    public TrunkGroup trunkGroup(String serverId) {
+        return groups.get(serverId);
     }
 
-    /** What the authority answers: all servers, the first choice by the digit behind the class's prefix. */
-    private byte[] found(byte[] question) {
+    /** Returns the authority's answer: all servers, the first choice given by the digit after the class prefix. */
+    private byte[] authorityAnswer(byte[] question) {
         try {
             Message query = DnsCodec.decode(question);
-            Name asked = query.getQuestion().getName();
+            Name name = query.getQuestion().getName();
             Message reply = new Message(query.getHeader().getID());
             reply.getHeader().setFlag(Flags.QR);
             reply.getHeader().setFlag(Flags.AA);
             reply.addRecord(query.getQuestion(), Section.QUESTION);
-            int first = E164Name.number(asked, SUFFIX).charAt(5) - '0';
+            int firstChoice = E164Name.number(name, SUFFIX).charAt(5) - '0';
             for (int i = 0; i < groups.size(); i++) {
-                String host = "s" + (first + i) % groups.size();
+                String host = "s" + (firstChoice + i) % groups.size();
                 reply.addRecord(
                         new NAPTRRecord(
-                                asked, DClass.IN, 60, 100, i, "u", "E2U+sip", "!^.*$!sip:x@" + host + "!", Name.root),
+                                name, DClass.IN, 60, 100, i, "u", "E2U+sip", "!^.*$!sip:x@" + host + "!", Name.root),
                         Section.ANSWER);
             }
             return reply.toWire();
@@ -380,34 +384,34 @@
 
     @Override
     public RouterPorts.SendFailure sendSetUp(
-            double at, String server, long call, int attempt, double until, CallRecord record) {
-        if (unreachable.contains(server)) {
+            double at, String serverId, long call, int attempt, double deadline, CallRecord record) {
+        if (unreachableServers.contains(serverId)) {
             return new RouterPorts.SendFailure(AttemptStatus.UNREACHABLE, RejectReason.NONE);
         }
-        return groups.get(server).setUp(call, attempt, record.number(), 10)
+        return groups.get(serverId).setUp(call, attempt, record.number(), 10)
                 ? null
                 : new RouterPorts.SendFailure(AttemptStatus.FULL, RejectReason.NO_LINE);
     }
 
     @Override
-    public double sendRelease(double at, String server, long call, int attempt, boolean timedOut) {
-        groups.get(server).release(at, call, attempt, timedOut ? Isup.TIMER_EXPIRED : Isup.NORMAL_CLEARING);
+    public double sendRelease(double at, String serverId, long call, int attempt, boolean timedOut) {
+        groups.get(serverId).release(at, call, attempt, timedOut ? Isup.TIMER_EXPIRED : Isup.NORMAL_CLEARING);
         return now;
     }
 
     @Override
-    public void sendProbe(double at, String server) {
-        boolean answers = !unreachable.contains(server);
-        later(1, () -> router.probeCompleted(now, server, true, answers, 1, ServerLoadReport.NONE));
+    public void sendProbe(double at, String serverId) {
+        boolean answers = !unreachableServers.contains(serverId);
+        schedule(1, () -> router.probeCompleted(now, serverId, true, answers, 1, ServerLoadReport.NONE));
     }
 
     @Override
     public void requestServerList() {
-        fetches++;
+        serverListRequests++;
     }
 
     @Override
     public void subscribeToUpdates() {
-        fetches++;
+        serverListRequests++;
     }
 }
