--- a/src/test/java/damsonseam/core/CircuitsTest.java
+++ b/src/test/java/damsonseam/core/CircuitAllocatorTest.java
@@ -14,37 +14,38 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class CircuitsTest {
+/** Guards against seizing a circuit that is in use, blocked or being reset, and against a wrong count of idle ones. */
+class CircuitAllocatorTest {
 
-    /** Against a plain map of reasons: the bitmaps never disagree with it, whatever the order of events. */
+    /** Compares the bitmaps with plain maps of the reasons under random sequences of events. */
     @Property(tries = 300)
-    void agreesWithAPlainTable(
+    void matchesReferenceModelUnderRandomEvents(
             @ForAll @IntRange(min = 1, max = 40) int size,
-            @ForAll boolean even,
+            @ForAll boolean controlsEven,
             @ForAll @Size(max = 200) List<@IntRange(min = 0, max = 399) Integer> events) {
-        CircuitAllocator circuits = new CircuitAllocator(size, even);
-        Map<Integer, Boolean> taken = new HashMap<>();
+        CircuitAllocator circuits = new CircuitAllocator(size, controlsEven);
+        Map<Integer, Boolean> inUse = new HashMap<>();
         Map<Integer, Boolean> blocked = new HashMap<>();
         Map<Integer, Boolean> resetting = new HashMap<>();
         for (int event : events) {
             int code = event % 40 % size + 1;
             switch (event / 80) {
                 case 0 -> {
-                    int got = circuits.seize();
-                    if (got != 0) {
+                    int seized = circuits.seize();
+                    if (seized != 0) {
                         assertFalse(
-                                taken.getOrDefault(got, false)
-                                        || blocked.getOrDefault(got, false)
-                                        || resetting.getOrDefault(got, false),
+                                inUse.getOrDefault(seized, false)
+                                        || blocked.getOrDefault(seized, false)
+                                        || resetting.getOrDefault(seized, false),
                                 "seized a circuit that was not idle");
-                        taken.put(got, true);
+                        inUse.put(seized, true);
                     } else {
-                        assertEquals(0, idle(size, taken, blocked, resetting));
+                        assertEquals(0, countIdle(size, inUse, blocked, resetting));
                     }
                 }
                 case 1 -> {
                     circuits.setIdle(code);
-                    taken.remove(code);
+                    inUse.remove(code);
                     resetting.remove(code);
                 }
                 case 2 -> {
@@ -57,18 +58,20 @@
                 }
                 default -> {
                     circuits.seizeIncoming(code);
-                    taken.put(code, true);
+                    inUse.put(code, true);
                 }
             }
-            assertEquals(idle(size, taken, blocked, resetting), circuits.idleCount());
+            assertEquals(countIdle(size, inUse, blocked, resetting), circuits.idleCount());
         }
     }
 
-    private static int idle(
-            int size, Map<Integer, Boolean> taken, Map<Integer, Boolean> blocked, Map<Integer, Boolean> resetting) {
+    private static int countIdle(
+            int size, Map<Integer, Boolean> inUse, Map<Integer, Boolean> blocked, Map<Integer, Boolean> resetting) {
         int idle = 0;
-        for (int c = 1; c <= size; c++) {
-            idle += taken.getOrDefault(c, false) || blocked.getOrDefault(c, false) || resetting.getOrDefault(c, false)
+        for (int code = 1; code <= size; code++) {
+            idle += inUse.getOrDefault(code, false)
+                            || blocked.getOrDefault(code, false)
+                            || resetting.getOrDefault(code, false)
                     ? 0
                     : 1;
         }
@@ -76,7 +79,7 @@
     }
 
     @Test
-    void ownCodesGoFirstAndTheOneJustReleasedRests() {
+    void controlledCircuitsAreSeizedFirstAndReleasedOnesLast() {
         CircuitAllocator circuits = new CircuitAllocator(6, true);
         assertEquals(2, circuits.seize());
         circuits.setIdle(2);
@@ -87,7 +90,7 @@
     }
 
     @Test
-    void codesOutsideTheGroupAreRefused() {
+    void codesOutsideTheGroupAreRejected() {
         CircuitAllocator circuits = new CircuitAllocator(3, false);
         assertThrows(IllegalArgumentException.class, () -> circuits.setIdle(0));
         assertThrows(IllegalArgumentException.class, () -> circuits.seizeIncoming(4));
--- a/src/test/java/damsonseam/core/RouterTest.java
+++ b/src/test/java/damsonseam/core/RouterTest.java
@@ -16,7 +16,10 @@
 import java.util.OptionalInt;
 import org.junit.jupiter.api.Test;
 
-/** The core with the module and one server, without sockets: each set-up that goes out has one end. */
+/**
+ * Runs the router with the decision module and one server, without sockets. Guards against attempts whose outcome is
+ * never reported to the module, which then considers the server unresponsive and sends it no further calls.
+ */
 class RouterTest implements RouterPorts.ServerSignalling, RouterPorts.Directory {
     private final TimerWheel timers = new TimerWheel(0);
     private final List<Long> sent = new ArrayList<>();
@@ -24,7 +27,7 @@
     private final Router router;
 
     RouterTest() {
-        CallClass plain = new CallClass(
+        CallClass callClass = new CallClass(
                 OptionalDouble.of(300),
                 OptionalDouble.of(3_000),
                 OptionalDouble.of(1),
@@ -33,7 +36,7 @@
         Settings settings = new Settings(
                 1,
                 OptionalInt.of(3),
-                List.of(plain),
+                List.of(callClass),
                 OptionalInt.empty(),
                 OptionalInt.of(4),
                 Optional.of(true),
@@ -52,56 +55,56 @@
                 OptionalDouble.of(2_000));
         router = new Router(
                 new RouterSettings(settings, 1_000, 2, 100, 8),
-                (Front.Actions act) -> new Decide(settings, act),
+                (Front.Actions actions) -> new Decide(settings, actions),
                 new CallTable(1_000, 1),
                 timers,
                 (call, number, deadline) -> {},
                 this,
                 this,
                 CallTracer.NONE);
-        ServerList.Server a = new ServerList.Server("a", 0, "a:1", 0, State.RUNNING, OptionalDouble.empty());
-        router.serverListUpdated(0, 1, true, List.of(a));
-        turn(1);
+        ServerList.Server server = new ServerList.Server("a", 0, "a:1", 0, State.RUNNING, OptionalDouble.empty());
+        router.serverListUpdated(0, 1, true, List.of(server));
+        tick(1);
     }
 
-    private void turn(double now) {
+    private void tick(double now) {
         router.onTick(now);
         router.endBatch(now);
     }
 
-    private CallRecord offer(double now, double patience) {
-        CallRecord call = router.routedCallReceived(
-                now, "1", 0, 0, patience, 0, false, (at, of, answer) -> answers.add(answer.kind()));
-        turn(now);
-        return call;
+    private CallRecord offerCall(double now, double patience) {
+        CallRecord received = router.routedCallReceived(
+                now, "1", 0, 0, patience, 0, false, (at, call, answer) -> answers.add(answer.kind()));
+        tick(now);
+        return received;
     }
 
     @Test
-    void setUpsOfCallersThatLeftDoNotCloseTheServer() {
-        // Callers go away while their set-ups are out; each is given up there. Seen on the bench as a node that sent
-        // nothing to any server any more: the module never heard of their ends and took the server for silent.
+    void setUpsOfAbandonedCallsDoNotCloseTheServer() {
+        // Callers abandon their calls while the set-ups are pending, so the attempts are given up. In a bench run, a
+        // node stopped sending to any server because the outcomes of such attempts were not reported to the module.
         double now = 10;
         for (int i = 0; i < 20; i++) {
-            CallRecord call = offer(now, 2_000);
+            CallRecord call = offerCall(now, 2_000);
             router.callerAbandoned(now + 5, call);
-            turn(now + 5);
+            tick(now + 5);
             now += 10;
         }
         assertTrue(!sent.isEmpty());
         sent.clear();
         for (int i = 0; i < 200; i++, now += 20) {
-            turn(now);
+            tick(now);
         }
-        CallRecord late = offer(now, 2_000);
-        assertEquals(List.of(late.id()), sent, "a server that never failed gets the next call at once");
-        router.callEstablished(now + 20, late.id(), 0, Report.NONE);
-        turn(now + 20);
+        CallRecord next = offerCall(now, 2_000);
+        assertEquals(List.of(next.id()), sent, "a server that never failed gets the next call at once");
+        router.callEstablished(now + 20, next.id(), 0, Report.NONE);
+        tick(now + 20);
         assertEquals(List.of(FinalAnswer.Kind.STANDS), answers);
     }
 
     @Override
     public RouterPorts.SendFailure sendSetUp(
-            double now, String server, long call, int attempt, double until, CallRecord record) {
+            double now, String server, long call, int attempt, double giveUpAt, CallRecord record) {
         sent.add(call);
         return null;
     }
--- a/src/test/java/damsonseam/core/TimersTest.java
+++ b/src/test/java/damsonseam/core/TimerWheelTest.java
@@ -11,29 +11,31 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class TimersTest {
-    private static final double TICK = 2.1;
+/** Guards against timers that fire early, late, after their cancellation or not at all. */
+class TimerWheelTest {
+    private static final double MAX_DELAY_MS = 2.1;
 
     @Property(tries = 200)
-    void neverEarlyAndAtMostTwoTicksLate(@ForAll @Size(min = 1, max = 40) List<@DoubleRange(max = 5000) Double> ats) {
+    void firesNeverEarlyAndAtMostTwoTicksLate(
+            @ForAll @Size(min = 1, max = 40) List<@DoubleRange(max = 5000) Double> offsets) {
         TimerWheel timers = new TimerWheel(100);
         List<double[]> fired = new ArrayList<>();
-        for (double at : ats) {
-            timers.schedule(100 + at, now -> fired.add(new double[] {100 + at, now}));
+        for (double offset : offsets) {
+            timers.schedule(100 + offset, now -> fired.add(new double[] {100 + offset, now}));
         }
         for (double now = 100; now <= 5200; now += 1) {
             timers.poll(now);
         }
-        assertEquals(ats.size(), fired.size());
-        for (double[] f : fired) {
-            assertTrue(f[1] >= f[0], "fired at " + f[1] + ", due at " + f[0]);
-            assertTrue(f[1] <= f[0] + TICK + 1, "fired at " + f[1] + ", due at " + f[0]);
+        assertEquals(offsets.size(), fired.size());
+        for (double[] timer : fired) {
+            assertTrue(timer[1] >= timer[0], "fired at " + timer[1] + ", due at " + timer[0]);
+            assertTrue(timer[1] <= timer[0] + MAX_DELAY_MS + 1, "fired at " + timer[1] + ", due at " + timer[0]);
         }
         assertEquals(0, timers.size());
     }
 
     @Test
-    void aLongPauseFiresAllThatFellDueAndNothingElse() {
+    void pollAfterLongPauseFiresExactlyTheOverdueTimers() {
         TimerWheel timers = new TimerWheel(0);
         List<String> fired = new ArrayList<>();
         timers.schedule(10, n -> fired.add("a"));
@@ -44,7 +46,7 @@
     }
 
     @Test
-    void aCancelledTimerDoesNotFireEvenIfItsTickIsBeingFired() {
+    void timerCancelledWhileItsTickFiresDoesNotFire() {
         TimerWheel timers = new TimerWheel(0);
         List<String> fired = new ArrayList<>();
         TimerWheel.Timer[] second = new TimerWheel.Timer[1];
@@ -59,7 +61,7 @@
     }
 
     @Test
-    void aTimerSetByATimerFiresInTheSamePollIfItIsDue() {
+    void dueTimerScheduledByAnotherTimerFiresInTheSamePoll() {
         TimerWheel timers = new TimerWheel(0);
         List<Double> fired = new ArrayList<>();
         timers.schedule(5, n -> timers.schedule(8, fired::add));
