--- a/src/main/java/damsonseam/overload/HeavySenderDetector.java
+++ b/src/main/java/damsonseam/overload/HeavySenderDetector.java
@@ -15,7 +15,7 @@
 public final class HeavySenderDetector {
     private static final double WINDOW_MS = 500;
     private static final int MAX_SKETCH_ENTRIES = 256;
-    private static final int LG_K = 10;
+    private static final int HLL_LG_K = 10;
     private static final int NETWORK_BYTES = 8;
     /** Minimum number of requests in a window for it to be evaluated; shares of fewer are due to chance. */
     private static final long MIN_REQUESTS = 64;
@@ -27,7 +27,7 @@
 
     private static final class Window {
         final LongsSketch heaviest = new LongsSketch(MAX_SKETCH_ENTRIES);
-        final HllSketch senders = new HllSketch(LG_K);
+        final HllSketch senders = new HllSketch(HLL_LG_K);
         long requests;
         double fairShare = Double.NaN;
 
@@ -84,13 +84,13 @@
      * Returns the share of a sender's requests above its allowance, 0 to 1, in the last complete window. A flood is
      * therefore detected with a delay of half a second; until then, all senders' calls are refused by worth.
      *
-     * @param tight whether the allowance is a single fair share instead of the configured multiple
+     * @param singleShare whether the allowance is one fair share instead of the configured multiple
      */
-    public double surplusShare(long sender, boolean tight) {
+    public double surplusShare(long sender, boolean singleShare) {
         if (previous.requests < MIN_REQUESTS) {
             return 0;
         }
-        double allowance = (tight ? 1 : multiple) * previous.fairShare();
+        double allowance = (singleShare ? 1 : multiple) * previous.fairShare();
         double requests = previous.heaviest.getLowerBound(sender);
         return requests <= allowance ? 0 : 1 - allowance / requests;
     }
--- a/src/main/java/damsonseam/overload/HeldCallLimit.java
+++ b/src/main/java/damsonseam/overload/HeldCallLimit.java
@@ -17,7 +17,10 @@
 
     private static final double MIN_LIMIT = 1_000;
     private static final double GROWTH_PER_SECOND = 0.5;
-    /** Lower bound of a single decrease: one batch may be long for other reasons, such as a pause or a cold start. */
+    /**
+     * Lower bound of the factor of a single decrease: one batch may be long for other reasons, such as a pause or a
+     * cold start.
+     */
     private static final double MIN_DECREASE_FACTOR = 0.7;
     /** Share of the limit that must be in use for the limit to grow. */
     private static final double GROWTH_USAGE = 0.7;
