--- a/src/main/java/damsonseam/core/RouterPorts.java
+++ b/src/main/java/damsonseam/core/RouterPorts.java
@@ -1,7 +1,7 @@
 package damsonseam.core;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
 
 /**
  * The interfaces through which the {@link Router} uses the sockets around it. They are called from the core's thread
@@ -42,7 +42,7 @@
     }
 
     /** The result and the reason reported for an attempt whose set-up could not be sent. */
-    public record SendFailure(Result result, Reason reason) {}
+    public record SendFailure(AttemptStatus result, RejectReason reason) {}
 
     /** The caller's side of one call; notified of its final answer at most once. */
     @FunctionalInterface
--- a/src/main/java/damsonseam/core/RouterSettings.java
+++ b/src/main/java/damsonseam/core/RouterSettings.java
@@ -1,6 +1,6 @@
 package damsonseam.core;
 
-import damsonseam.Front.Settings;
+import damsonseam.RoutingPolicy.PolicySettings;
 
 /**
  * Settings of the {@link Router}.
@@ -12,4 +12,4 @@
  * @param answerMarginMs time before a caller's deadline at which the core fails an unanswered call, in milliseconds
  */
 public record RouterSettings(
-        Settings module, int maxCalls, double tickIntervalMs, double releaseTimeoutMs, double answerMarginMs) {}
+        PolicySettings module, int maxCalls, double tickIntervalMs, double releaseTimeoutMs, double answerMarginMs) {}
--- a/src/main/java/damsonseam/core/ServerList.java
+++ b/src/main/java/damsonseam/core/ServerList.java
@@ -1,7 +1,7 @@
 package damsonseam.core;
 
-import damsonseam.Front.ServerEntry;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.ServerEntry;
+import damsonseam.RoutingPolicy.ServerState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -35,7 +35,8 @@
      * @param state whether the server accepts calls
      * @param startedAt start time of its processor on the front's clock in milliseconds, empty if long ago
      */
-    public record Server(String id, int index, String address, int pointCode, State state, OptionalDouble startedAt) {
+    public record Server(
+            String id, int index, String address, int pointCode, ServerState state, OptionalDouble startedAt) {
         ServerEntry entry() {
             return new ServerEntry(id, index, startedAt, state);
         }
@@ -69,8 +70,9 @@
         }
         if (newVersion > version + 1) {
             // Keeps drains effective when updates were lost: removals are applied before the full list arrives.
-            List<Server> leaving =
-                    entries.stream().filter(s -> s.state() != State.RUNNING).toList();
+            List<Server> leaving = entries.stream()
+                    .filter(s -> s.state() != ServerState.RUNNING)
+                    .toList();
             leaving.stream().filter(s -> servers.containsKey(s.id())).forEach(this::store);
             return new UpdateResult(false, toEntries(leaving), true);
         }
@@ -86,7 +88,7 @@
     }
 
     private void store(Server server) {
-        if (server.state() == State.GONE) {
+        if (server.state() == ServerState.GONE) {
             Server old = servers.remove(server.id());
             if (old != null) {
                 idByIndex.remove(old.index(), server.id());
--- a/src/main/java/damsonseam/front/DirectoryClient.java
+++ b/src/main/java/damsonseam/front/DirectoryClient.java
@@ -1,6 +1,6 @@
 package damsonseam.front;
 
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.core.Router;
 import damsonseam.core.RouterPorts;
 import damsonseam.core.ServerList;
@@ -132,14 +132,14 @@
     private static List<ServerList.Server> servers(Update update, double now) {
         List<ServerList.Server> servers = new ArrayList<>(update.getEntriesCount());
         for (Entry e : update.getEntriesList()) {
-            State state =
+            ServerState state =
                     switch (e.getState()) {
-                        case RUNNING -> State.RUNNING;
-                        case DRAINING -> State.DRAINING;
-                        case GONE -> State.GONE;
+                        case RUNNING -> ServerState.RUNNING;
+                        case DRAINING -> ServerState.DRAINING;
+                        case GONE -> ServerState.GONE;
                         default -> throw new IllegalArgumentException("server " + e.getServer() + " has no state");
                     };
-            if (e.getServer().isEmpty() || state != State.GONE) {
+            if (e.getServer().isEmpty() || state != ServerState.GONE) {
                 damsonseam.config.Endpoint.parse(e.getAddress());
             }
             servers.add(new ServerList.Server(
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -1,7 +1,7 @@
 package damsonseam.front;
 
-import damsonseam.Decide;
-import damsonseam.Front;
+import damsonseam.CongestionControlPolicy;
+import damsonseam.RoutingPolicy;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.core.CallTable;
@@ -65,14 +65,15 @@
      * @param module factory of the decision module
      * @param admission supplier of admission controllers, called once for UDP and once for TCP
      */
-    public record Components(Function<Front.Actions, Front> module, Supplier<AdmissionController> admission) {
+    public record Components(
+            Function<RoutingPolicy.PolicyActions, RoutingPolicy> module, Supplier<AdmissionController> admission) {
         /** Returns the components of a regular front. */
         public static Components defaults(FrontSettings settings) {
             long seed = settings.front().seed() == null
                     ? new SecureRandom().nextLong()
                     : settings.front().seed();
             return new Components(
-                    actions -> new Decide(settings.moduleSettings(seed), actions),
+                    actions -> new CongestionControlPolicy(settings.moduleSettings(seed), actions),
                     () -> new LevelAdmissionController(
                             settings.overloadSettings(), settings.ranks().count(), seed));
         }
--- a/src/main/java/damsonseam/node/CoordinatorClient.java
+++ b/src/main/java/damsonseam/node/CoordinatorClient.java
@@ -1,6 +1,6 @@
 package damsonseam.node;
 
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.Endpoint;
 import damsonseam.core.Router;
 import damsonseam.core.RouterPorts;
@@ -226,7 +226,7 @@
                     id,
                     host + ":" + port,
                     cell,
-                    new State[] {State.RUNNING, State.DRAINING, State.GONE}[state],
+                    new ServerState[] {ServerState.RUNNING, ServerState.DRAINING, ServerState.GONE}[state],
                     frame.readLong()));
         }
         return new ServerListUpdate(number, kind == 1, entries);
--- a/src/main/java/damsonseam/node/ServerEndpoint.java
+++ b/src/main/java/damsonseam/node/ServerEndpoint.java
@@ -1,9 +1,9 @@
 package damsonseam.node;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.Endpoint;
 import damsonseam.core.Router;
 import damsonseam.core.ServerList;
@@ -176,7 +176,7 @@
         server = updated;
         replaced = false;
         active = true;
-        if (updated.state() != State.RUNNING) {
+        if (updated.state() != ServerState.RUNNING) {
             failUnsent();
         }
         double startedAtMs = updated.startedAt().orElse(Double.NEGATIVE_INFINITY);
@@ -317,7 +317,7 @@
         for (Attempt attempt : List.copyOf(attempts.values())) {
             if (attempt.connection == connection && attempt.sent) {
                 attempt.nodeCall.brokenAttemptServer = this;
-                endAttempt(attempt, Result.RESET, Reason.NONE, Report.NONE);
+                endAttempt(attempt, AttemptStatus.RESET, RejectReason.NONE, ServerLoadReport.NONE);
             } else if (attempt.connection == connection) {
                 reassign(attempt);
             }
@@ -325,7 +325,8 @@
         probes.entrySet().removeIf(entry -> {
             boolean lost = entry.getValue().connection == connection;
             if (lost && entry.getValue().requested) {
-                router.probeCompleted(now(), server.id(), true, false, now() - entry.getValue().sentAtMs, Report.NONE);
+                router.probeCompleted(
+                        now(), server.id(), true, false, now() - entry.getValue().sentAtMs, ServerLoadReport.NONE);
             }
             return lost;
         });
@@ -397,7 +398,7 @@
     private void reassign(Attempt attempt) {
         attempt.connection = null;
         if (!active || !assignConnection(attempt)) {
-            endAttempt(attempt, Result.UNREACHABLE, Reason.NONE, Report.NONE);
+            endAttempt(attempt, AttemptStatus.UNREACHABLE, RejectReason.NONE, ServerLoadReport.NONE);
         }
     }
 
@@ -451,7 +452,7 @@
                 });
     }
 
-    private void endAttempt(Attempt attempt, Result result, Reason reason, Report report) {
+    private void endAttempt(Attempt attempt, AttemptStatus result, RejectReason reason, ServerLoadReport report) {
         attempts.remove(attempt.key());
         if (attempt.connection != null) {
             attempt.connection.adjustOutstanding(-1);
@@ -463,7 +464,7 @@
     /** What waits for a connection never went out. */
     private void failQueued() {
         for (Attempt attempt = queuedAttempts.poll(); attempt != null; attempt = queuedAttempts.poll()) {
-            endAttempt(attempt, Result.UNREACHABLE, Reason.NONE, Report.NONE);
+            endAttempt(attempt, AttemptStatus.UNREACHABLE, RejectReason.NONE, ServerLoadReport.NONE);
         }
     }
 
@@ -472,7 +473,7 @@
         failQueued();
         for (Attempt attempt : List.copyOf(attempts.values())) {
             if (!attempt.sent) {
-                endAttempt(attempt, Result.UNREACHABLE, Reason.NONE, Report.NONE);
+                endAttempt(attempt, AttemptStatus.UNREACHABLE, RejectReason.NONE, ServerLoadReport.NONE);
             }
         }
     }
@@ -498,7 +499,7 @@
         router.advanceClock(now());
         for (NodeCall call : List.copyOf(establishedCalls)) {
             if (filter.test(call)) {
-                context.callRegistry().onReleasedByServer(call, Result.RESET, Report.NONE);
+                context.callRegistry().onReleasedByServer(call, AttemptStatus.RESET, ServerLoadReport.NONE);
             }
         }
     }
@@ -512,7 +513,7 @@
         }
         router.fireOverdueTimers(now);
         router.advanceClock(now);
-        Report report = parseReport(message);
+        ServerLoadReport report = parseReport(message);
         if (!message.isRequest()) {
             onResponse(connection, message, report, now);
         } else if (message.method().equals(SipMessage.NOTIFY)) {
@@ -534,12 +535,12 @@
                 && message.status() != SipMessage.OK;
     }
 
-    private Report parseReport(SipMessage message) {
+    private ServerLoadReport parseReport(SipMessage message) {
         String text = message.headers().get("X-Occupancy");
-        return text == null ? Report.NONE : context.reportFields().parse(text, IllegalArgumentException::new);
+        return text == null ? ServerLoadReport.NONE : context.reportFields().parse(text, IllegalArgumentException::new);
     }
 
-    private void onResponse(ServerConnection connection, SipMessage message, Report report, double now) {
+    private void onResponse(ServerConnection connection, SipMessage message, ServerLoadReport report, double now) {
         if (!message.isFinalResponse()) {
             return;
         }
@@ -604,22 +605,22 @@
                         || attempts.values().stream().anyMatch(attempt -> attempt.nodeCall == call));
     }
 
-    private static Result resultOf(int status) {
+    private static AttemptStatus resultOf(int status) {
         return switch (status) {
-            case 503 -> Result.FULL;
-            case 480 -> Result.NOT_SENT;
-            case 504 -> Result.RESET;
-            default -> Result.ERROR;
+            case 503 -> AttemptStatus.FULL;
+            case 480 -> AttemptStatus.NOT_SENT;
+            case 504 -> AttemptStatus.RESET;
+            default -> AttemptStatus.ERROR;
         };
     }
 
-    private static Reason reasonOf(SipMessage message) {
+    private static RejectReason reasonOf(SipMessage message) {
         return switch (String.valueOf(message.headers().get("X-Diagnosis"))) {
-            case "all_trunks_busy" -> Reason.NO_LINE;
-            case "via_said_no", "far_cpu_full" -> Reason.BEYOND_FULL;
-            case "cpu_full" -> Reason.PROCESSOR_FULL;
-            case "number_busy" -> Reason.NUMBER_BUSY;
-            default -> Reason.NONE;
+            case "all_trunks_busy" -> RejectReason.NO_LINE;
+            case "via_said_no", "far_cpu_full" -> RejectReason.BEYOND_FULL;
+            case "cpu_full" -> RejectReason.PROCESSOR_FULL;
+            case "number_busy" -> RejectReason.NUMBER_BUSY;
+            default -> RejectReason.NONE;
         };
     }
 
@@ -627,7 +628,7 @@
      * An attempt that broke may have run, and its release bears the same id as that of the call's next attempt at the
      * same server: the one that stands, or is out, is told from it by its connection, while that is open.
      */
-    private void onBye(ServerConnection connection, SipMessage message, Report report) {
+    private void onBye(ServerConnection connection, SipMessage message, ServerLoadReport report) {
         NodeCall call = context.callRegistry().get(String.valueOf(message.callId()));
         boolean normalClearing = String.valueOf(message.headers().get(SipHeaders.REASON))
                 .replace(" ", "")
@@ -654,13 +655,14 @@
                     && call.establishedConnection.isUsable()) {
                 return;
             }
-            context.callRegistry().onReleasedByServer(call, normalClearing ? Result.COMPLETED : Result.RESET, report);
+            context.callRegistry()
+                    .onReleasedByServer(call, normalClearing ? AttemptStatus.COMPLETED : AttemptStatus.RESET, report);
             closeIfUnused();
             return;
         }
         for (Attempt attempt : List.copyOf(attempts.values())) {
             if (attempt.nodeCall == call && attempt.connection == connection && attempt.sent) {
-                endAttempt(attempt, Result.RESET, Reason.NONE, report);
+                endAttempt(attempt, AttemptStatus.RESET, RejectReason.NONE, report);
             }
         }
     }
@@ -688,7 +690,7 @@
                                         true,
                                         !connections.isEmpty(),
                                         firedAt - now,
-                                        Report.NONE));
+                                        ServerLoadReport.NONE));
             }
             return;
         }
@@ -702,7 +704,7 @@
         connection.send(SipMessage.request(SipMessage.OPTIONS, PROBE_URI, probeId, 1), null);
         context.loop().timers().schedule(now + context.connectTimeoutMs(), firedAt -> {
             if (probes.remove(probeId) != null && requested) {
-                router.probeCompleted(firedAt, server.id(), true, false, firedAt - now, Report.NONE);
+                router.probeCompleted(firedAt, server.id(), true, false, firedAt - now, ServerLoadReport.NONE);
             }
         });
     }
