--- a/src/main/java/damsonseam/audit/Auditor.java
+++ b/src/main/java/damsonseam/audit/Auditor.java
@@ -7,12 +7,12 @@
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.DnsFormatException;
 import damsonseam.dns.E164Name;
-import damsonseam.ss7.Digits;
-import damsonseam.ss7.Isup;
+import damsonseam.ss7.CalledPartyNumber;
+import damsonseam.ss7.IsupMessage;
 import damsonseam.ss7.IsupMessages;
-import damsonseam.ss7.M3ua;
+import damsonseam.ss7.M3uaMessage;
 import damsonseam.ss7.ProtocolData;
-import damsonseam.ss7.SignallingException;
+import damsonseam.ss7.SignallingProtocolException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -103,7 +103,7 @@
     /** An auditor of a run in this world. */
     public Auditor(World world) {
         this.world = world;
-        suffix = E164Name.suffix(world.suffix());
+        suffix = E164Name.parseSuffix(world.suffix());
         world.fronts().forEach(f -> frontByPort.put("front:" + f.port(), f.name()));
         world.calculators().forEach(c -> calculatorByCode.put(c.pointCode(), c.id()));
         colds = new ColdStarts(world);
@@ -163,8 +163,8 @@
         if (message.getQuestion() == null) {
             return;
         }
-        String number = E164Name.number(message.getQuestion().getName(), suffix);
-        boolean question = !DnsCodec.isAnswer(line.octets());
+        String number = E164Name.toNumber(message.getQuestion().getName(), suffix);
+        boolean question = !DnsCodec.isResponse(line.octets());
         String front = frontByPort.get(question ? line.to() : line.from());
         if (number == null || front == null) {
             return;
@@ -261,34 +261,41 @@
 
     private void m3ua(WireLog.Line line) {
         try {
-            M3ua message = M3ua.decode(line.octets());
-            if (message.kind() == M3ua.Kind.DATA) {
-                ProtocolData data = ProtocolData.of(message);
+            M3uaMessage message = M3uaMessage.decode(line.octets());
+            if (message.kind() == M3uaMessage.Kind.DATA) {
+                ProtocolData data = ProtocolData.from(message);
                 String server = calculatorByCode.get(data.dpc());
                 boolean toServer = server != null;
                 server = toServer ? server : calculatorByCode.get(data.opc());
                 String front = "front-" + (toServer ? data.opc() : data.dpc());
                 if (server != null) {
-                    isup(line.timeUs(), front, server, toServer, Isup.decode(data.isup()));
+                    isup(line.timeUs(), front, server, toServer, IsupMessage.decode(data.isup()));
                 }
             }
-        } catch (SignallingException e) {
+        } catch (SignallingProtocolException e) {
             // Frames that can't be read set nothing up.
         }
     }
 
-    private void isup(long at, String front, String server, boolean toServer, Isup message) throws SignallingException {
+    private void isup(long at, String front, String server, boolean toServer, IsupMessage message)
+            throws SignallingProtocolException {
         String circuit = front + " " + server + " " + message.circuit();
         Attempt attempt = byCircuit.get(circuit);
         switch (message.type()) {
             case IAM -> {
                 if (toServer) {
-                    setUp(at, front, server, circuit, Digits.decode(message.value(Isup.CALLED_NUMBER)));
+                    setUp(
+                            at,
+                            front,
+                            server,
+                            circuit,
+                            CalledPartyNumber.decode(message.parameterValue(IsupMessage.CALLED_PARTY_NUMBER)));
                 }
             }
             case ANM, CON -> end(attempt, circuit, at, false);
             // Our own release of an attempt that was not answered: given up or called off.
-            case REL -> end(attempt, circuit, at, toServer || IsupMessages.cause(message) == Isup.TEMPORARY_FAILURE);
+            case REL ->
+                end(attempt, circuit, at, toServer || IsupMessages.cause(message) == IsupMessage.TEMPORARY_FAILURE);
             case RLC, RSC -> end(attempt, circuit, at, true);
             default -> {}
         }
--- a/src/main/java/damsonseam/audit/CallStory.java
+++ b/src/main/java/damsonseam/audit/CallStory.java
@@ -2,12 +2,12 @@
 
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.DnsFormatException;
-import damsonseam.ss7.Digits;
-import damsonseam.ss7.Isup;
+import damsonseam.ss7.CalledPartyNumber;
+import damsonseam.ss7.IsupMessage;
 import damsonseam.ss7.IsupMessages;
-import damsonseam.ss7.M3ua;
+import damsonseam.ss7.M3uaMessage;
 import damsonseam.ss7.ProtocolData;
-import damsonseam.ss7.SignallingException;
+import damsonseam.ss7.SignallingProtocolException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -71,14 +71,14 @@
         try {
             switch (line.proto()) {
                 case WireLog.DNS -> dns(line, DnsCodec.decode(line.octets()));
-                case WireLog.M3UA -> signal(line, M3ua.decode(line.octets()));
+                case WireLog.M3UA -> signal(line, M3uaMessage.decode(line.octets()));
                 default ->
                     tell(
                             line,
                             "stands still for " + new String(line.octets(), java.nio.charset.StandardCharsets.US_ASCII)
                                     + " ms");
             }
-        } catch (DnsFormatException | SignallingException e) {
+        } catch (DnsFormatException | SignallingProtocolException e) {
             // What can't be read is no part of a call's story.
         }
     }
@@ -93,7 +93,7 @@
             digits.append(label.length() == 1 ? label : "");
         }
         if (digits.toString().equals(number)) {
-            boolean answer = DnsCodec.isAnswer(line.octets());
+            boolean answer = DnsCodec.isResponse(line.octets());
             boolean stands = answer && !message.getSection(Section.ANSWER).isEmpty();
             tell(
                     line,
@@ -105,16 +105,17 @@
         }
     }
 
-    private void signal(WireLog.Line line, M3ua frame) throws SignallingException {
-        if (frame.kind() != M3ua.Kind.DATA) {
+    private void signal(WireLog.Line line, M3uaMessage frame) throws SignallingProtocolException {
+        if (frame.kind() != M3uaMessage.Kind.DATA) {
             return;
         }
-        Isup message = Isup.decode(ProtocolData.of(frame).isup());
+        IsupMessage message = IsupMessage.decode(ProtocolData.from(frame).isup());
         String circuit = line.from().compareTo(line.to()) < 0
                 ? line.from() + " " + line.to() + " " + message.circuit()
                 : line.to() + " " + line.from() + " " + message.circuit();
-        if (message.type() == Isup.Type.IAM) {
-            if (Digits.decode(message.value(Isup.CALLED_NUMBER)).equals(number)) {
+        if (message.type() == IsupMessage.Type.IAM) {
+            if (CalledPartyNumber.decode(message.parameterValue(IsupMessage.CALLED_PARTY_NUMBER))
+                    .equals(number)) {
                 circuits.add(circuit);
             } else {
                 circuits.remove(circuit);
@@ -123,7 +124,8 @@
         if (circuits.contains(circuit)) {
             tell(
                     line,
-                    message.type() + (message.type() == Isup.Type.REL ? " cause " + IsupMessages.cause(message) : "")
+                    message.type()
+                            + (message.type() == IsupMessage.Type.REL ? " cause " + IsupMessages.cause(message) : "")
                             + " on circuit " + message.circuit());
         }
     }
--- a/src/main/java/damsonseam/bench/Asker.java
+++ b/src/main/java/damsonseam/bench/Asker.java
@@ -53,7 +53,7 @@
 
     Asker(EventLoop loop, String suffix, LongFunction<String> numbers, InetSocketAddress to) {
         this.loop = loop;
-        this.suffix = E164Name.suffix(suffix);
+        this.suffix = E164Name.parseSuffix(suffix);
         this.numbers = numbers;
         this.to = to;
     }
@@ -157,8 +157,9 @@
         }
         Message question = new Message(id);
         question.addRecord(
-                Record.newRecord(E164Name.of(numbers.apply(next), suffix), Type.NAPTR, DClass.IN), Section.QUESTION);
-        question.addRecord(new OPTRecord(DnsCodec.SAFE_UDP, 0, 0), Section.ADDITIONAL);
+                Record.newRecord(E164Name.toName(numbers.apply(next), suffix), Type.NAPTR, DClass.IN),
+                Section.QUESTION);
+        question.addRecord(new OPTRecord(DnsCodec.MAX_UDP_RESPONSE_BYTES, 0, 0), Section.ADDITIONAL);
         dueAt[id] = due;
         out++;
         next++;
--- a/src/main/java/damsonseam/bench/BareResponder.java
+++ b/src/main/java/damsonseam/bench/BareResponder.java
@@ -53,7 +53,7 @@
                                         "!^.*$!sip:1@calc-00.example.org!",
                                         Name.root),
                                 Section.ANSWER);
-                        reply.addRecord(new OPTRecord(DnsCodec.SAFE_UDP, 0, 0), Section.ADDITIONAL);
+                        reply.addRecord(new OPTRecord(DnsCodec.MAX_UDP_RESPONSE_BYTES, 0, 0), Section.ADDITIONAL);
                         ctx.write(new DatagramPacket(Unpooled.wrappedBuffer(reply.toWire()), packet.sender()));
                     }
 
--- a/src/main/java/damsonseam/bench/DrainBench.java
+++ b/src/main/java/damsonseam/bench/DrainBench.java
@@ -5,10 +5,10 @@
 import damsonseam.config.Span;
 import damsonseam.directory.wire.State;
 import damsonseam.front.FrontServer;
-import damsonseam.ss7.Isup;
-import damsonseam.ss7.M3ua;
+import damsonseam.ss7.IsupMessage;
+import damsonseam.ss7.M3uaMessage;
 import damsonseam.ss7.ProtocolData;
-import damsonseam.ss7.SignallingException;
+import damsonseam.ss7.SignallingProtocolException;
 import damsonseam.standin.CalculatorSettings;
 import damsonseam.standin.Scenario;
 import damsonseam.standin.Surroundings;
@@ -123,10 +123,10 @@
 
     private static boolean isSetUp(WireLog.Line line) {
         try {
-            M3ua message = M3ua.decode(line.octets());
-            return message.kind() == M3ua.Kind.DATA
-                    && Isup.decode(ProtocolData.of(message).isup()).type() == Isup.Type.IAM;
-        } catch (SignallingException e) {
+            M3uaMessage message = M3uaMessage.decode(line.octets());
+            return message.kind() == M3uaMessage.Kind.DATA
+                    && IsupMessage.decode(ProtocolData.from(message).isup()).type() == IsupMessage.Type.IAM;
+        } catch (SignallingProtocolException e) {
             return false;
         }
     }
--- a/src/main/java/damsonseam/bench/MemoryBench.java
+++ b/src/main/java/damsonseam/bench/MemoryBench.java
@@ -18,7 +18,7 @@
 import damsonseam.core.RouterSettings;
 import damsonseam.core.Story;
 import damsonseam.core.Timers;
-import damsonseam.ss7.Isup;
+import damsonseam.ss7.IsupMessage;
 import damsonseam.ss7.TrunkGroup;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -115,24 +115,26 @@
                         new TrunkGroup(
                                 new Circuits(Circuits.MOST, true),
                                 timers,
-                                TrunkGroup.Times.Q764,
+                                TrunkGroup.TimerValues.Q764,
                                 1,
                                 new TrunkGroup.Output() {
                                     @Override
-                                    public void send(Isup message) {
-                                        if (message.type() == Isup.Type.IAM) {
+                                    public void send(IsupMessage message) {
+                                        if (message.type() == IsupMessage.Type.IAM) {
                                             answers.add(() -> groups.get(id)
-                                                    .received(0, Isup.of(message.circuit(), Isup.Type.ANM)));
+                                                    .onMessage(
+                                                            0,
+                                                            IsupMessage.of(message.circuit(), IsupMessage.Type.ANM)));
                                         }
                                     }
 
                                     @Override
-                                    public void stands(double now, long call, int attempt, Report report) {
+                                    public void onAnswered(double now, long call, int attempt, Report report) {
                                         router.stands(now, call, attempt, report);
                                     }
 
                                     @Override
-                                    public void ended(
+                                    public void onOutcome(
                                             double now,
                                             long call,
                                             int attempt,
@@ -144,11 +146,11 @@
                                     }
 
                                     @Override
-                                    public void released(double now, long call, int attempt) {
+                                    public void onReleaseComplete(double now, long call, int attempt) {
                                         router.released(now, call, attempt);
                                     }
                                 }));
-                groups.get(id).connectionUp(0);
+                groups.get(id).onConnectionUp(0);
             }
         }
 
@@ -167,7 +169,7 @@
 
         @Override
         public double release(double now, String server, long call, int attempt, boolean timedOut) {
-            groups.get(server).release(now, call, attempt, Isup.NORMAL_CLEARING);
+            groups.get(server).release(now, call, attempt, IsupMessage.NORMAL_CLEARING);
             return now;
         }
 
--- a/src/main/java/damsonseam/cli/LookupCommand.java
+++ b/src/main/java/damsonseam/cli/LookupCommand.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import damsonseam.config.Endpoint;
 import damsonseam.config.SettingsException;
-import damsonseam.dns.CallHints;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.DnsFormatException;
 import damsonseam.dns.E164Name;
-import damsonseam.dns.EnumReplies;
+import damsonseam.dns.EdnsCallOption;
+import damsonseam.dns.EnumResponses;
 import damsonseam.dns.NaptrRules;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -98,7 +98,8 @@
         Ranges.check("--timeout", timeout, 0.01, 3_600);
         Message query = new Message(new SecureRandom().nextInt(1 << 16));
         try {
-            Name name = E164Name.of(number.startsWith("+") ? number.substring(1) : number, E164Name.suffix(suffix));
+            Name name = E164Name.toName(
+                    number.startsWith("+") ? number.substring(1) : number, E164Name.parseSuffix(suffix));
             query.addRecord(Record.newRecord(name, Type.NAPTR, DClass.IN), Section.QUESTION);
         } catch (IllegalArgumentException e) {
             System.err.println("damsonseam: " + e.getMessage());
@@ -106,11 +107,11 @@
         }
         query.addRecord(
                 new OPTRecord(
-                        DnsCodec.SAFE_UDP,
+                        DnsCodec.MAX_UDP_RESPONSE_BYTES,
                         0,
                         0,
                         0,
-                        List.of(new CallHints(false, Math.round(timeout * 1_000)).option())),
+                        List.of(new EdnsCallOption(false, Math.round(timeout * 1_000)).toOption())),
                 Section.ADDITIONAL);
         Map<String, Object> result = new LinkedHashMap<>();
         result.put("number", number);
@@ -146,7 +147,7 @@
                 DatagramPacket packet = new DatagramPacket(new byte[DATAGRAM], DATAGRAM);
                 socket.receive(packet);
                 byte[] octets = Arrays.copyOf(packet.getData(), packet.getLength());
-                if (DnsCodec.id(octets) == DnsCodec.id(question) && DnsCodec.isAnswer(octets)) {
+                if (DnsCodec.messageId(octets) == DnsCodec.messageId(question) && DnsCodec.isResponse(octets)) {
                     Message answer = DnsCodec.decode(octets);
                     return answer.getHeader().getFlag(Flags.TC) ? askStream(question) : answer;
                 }
@@ -179,7 +180,7 @@
         String kind = found ? "stands" : "failed";
         if (found) {
             String digits = number.startsWith("+") ? number.substring(1) : number;
-            result.put("servers", NaptrRules.servers(digits, rules));
+            result.put("servers", NaptrRules.serverHosts(digits, rules));
             result.put("rules", rules.stream().map(NAPTRRecord::getRegexp).toList());
         } else if (answer.getRcode() == Rcode.NXDOMAIN) {
             kind = "unknown number";
@@ -188,11 +189,11 @@
         if (opt != null) {
             for (var option : opt.getOptions(15)) {
                 ExtendedErrorCodeOption error = (ExtendedErrorCodeOption) option;
-                kind = error.getErrorCode() == EnumReplies.EDE_REFUSED ? "refused" : kind;
+                kind = error.getErrorCode() == EnumResponses.EDE_REFUSED ? "refused" : kind;
                 result.put("error", error.getErrorCode());
                 result.put("why", error.getText());
             }
-            long wait = CallHints.of(opt).time();
+            long wait = EdnsCallOption.from(opt).timeMs();
             if (wait > 0) {
                 result.put("returnAfterMs", wait);
             }
--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -85,7 +85,7 @@
         /** Checks. */
         public Enumeration {
             Check.need(listen, "listen");
-            E164Name.suffix(Check.need(suffix, "suffix"));
+            E164Name.parseSuffix(Check.need(suffix, "suffix"));
             keepAnswers = Check.or(keepAnswers, Span.ms(3_000));
             wayBack = Check.or(wayBack, Span.ms(50));
         }
--- a/src/main/java/damsonseam/dns/Authorities.java
+++ b/src/main/java/damsonseam/dns/AuthoritySelector.java
@@ -7,7 +7,7 @@
  * the smoothed round trip and four deviations (RFC 6298 2), doubled for each silence in a row; an authority that
  * is lame or silent is asked last, and now and then, until it answers again.
  */
-public final class Authorities {
+public final class AuthoritySelector {
     /** Waits lie between these, in milliseconds: a caller waits seconds, a loopback answers in microseconds. */
     private static final double LEAST_WAIT = 20;
 
@@ -33,7 +33,7 @@
     private final Health[] all;
 
     /** So many authorities of which nothing is known. */
-    public Authorities(int count) {
+    public AuthoritySelector(int count) {
         if (count < 1) {
             throw new IllegalArgumentException("at least one authority is needed");
         }
@@ -42,7 +42,7 @@
     }
 
     /** The one to ask: of those asked least for this question the one that should answer first. */
-    public int choose(int[] asked, double now) {
+    public int select(int[] asked, double now) {
         int best = 0;
         for (int i = 1; i < all.length; i++) {
             if (better(i, best, asked, now)) {
@@ -79,7 +79,7 @@
     }
 
     /** How long to wait for an answer of this one, in milliseconds. */
-    public double patience(int i) {
+    public double timeoutMs(int i) {
         Health h = all[i];
         double wait = Double.isNaN(h.smoothed) ? FIRST_WAIT : h.smoothed + 4 * h.deviation;
         wait = Math.max(LEAST_WAIT, wait) * (1 << Math.min(h.silences, MOST_DOUBLINGS));
@@ -87,7 +87,7 @@
     }
 
     /** It answered after so long. */
-    public void answered(int i, double delay) {
+    public void recordResponse(int i, double delay) {
         Health h = all[i];
         h.silences = 0;
         if (Double.isNaN(h.smoothed)) {
@@ -100,12 +100,12 @@
     }
 
     /** It did not answer in time. */
-    public void silent(int i) {
+    public void recordTimeout(int i) {
         all[i].silences++;
     }
 
     /** It answered that it does not serve what it should. */
-    public void lame(int i, double now) {
+    public void recordLame(int i, double now) {
         all[i].lameUntil = now + LAME_SPAN;
     }
 
--- a/src/main/java/damsonseam/dns/E164Name.java
+++ b/src/main/java/damsonseam/dns/E164Name.java
@@ -6,17 +6,17 @@
 /** Numbers as domain names: the digits reversed, a label each, under a suffix (RFC 6116 3.2). */
 public final class E164Name {
     /** Digits at most; E.164 has 15, some networks add a few. */
-    public static final int MOST_DIGITS = 20;
+    public static final int MAX_DIGITS = 20;
 
     private E164Name() {}
 
     /** A suffix from its text form, absolute. */
-    public static Name suffix(String text) {
+    public static Name parseSuffix(String text) {
         try {
             Name name = Name.fromString(text, Name.root);
             // Room for all digits a number may have, or some calls could not be asked for.
-            if (name.length() + 2 * MOST_DIGITS > 255) {
-                throw new IllegalArgumentException("suffix: too long for " + MOST_DIGITS + " digits: " + text);
+            if (name.length() + 2 * MAX_DIGITS > 255) {
+                throw new IllegalArgumentException("suffix: too long for " + MAX_DIGITS + " digits: " + text);
             }
             return name;
         } catch (TextParseException e) {
@@ -25,7 +25,7 @@
     }
 
     /** The name of a number under a suffix. */
-    public static Name of(String number, Name suffix) {
+    public static Name toName(String number, Name suffix) {
         StringBuilder labels = new StringBuilder(2 * number.length());
         for (int i = number.length() - 1; i >= 0; i--) {
             char c = number.charAt(i);
@@ -34,8 +34,8 @@
             }
             labels.append(c).append(i > 0 ? "." : "");
         }
-        if (number.isEmpty() || number.length() > MOST_DIGITS) {
-            throw new IllegalArgumentException("a number has 1 to " + MOST_DIGITS + " digits: " + number);
+        if (number.isEmpty() || number.length() > MAX_DIGITS) {
+            throw new IllegalArgumentException("a number has 1 to " + MAX_DIGITS + " digits: " + number);
         }
         try {
             return Name.fromString(labels.toString(), suffix);
@@ -45,9 +45,9 @@
     }
 
     /** The number that a name under the suffix stands for, or null if it stands for none. */
-    public static String number(Name name, Name suffix) {
+    public static String toNumber(Name name, Name suffix) {
         int digits = name.labels() - suffix.labels();
-        if (digits < 1 || digits > MOST_DIGITS) {
+        if (digits < 1 || digits > MAX_DIGITS) {
             return null;
         }
         char[] number = new char[digits];
--- a/src/main/java/damsonseam/dns/CallHints.java
+++ b/src/main/java/damsonseam/dns/EdnsCallOption.java
@@ -12,28 +12,28 @@
  * not given. Callers that do not know it lose nothing.
  *
  * @param redialled whether the caller dials again
- * @param time milliseconds, 0 for not given
+ * @param timeMs milliseconds, 0 for not given
  */
-public record CallHints(boolean redialled, long time) {
+public record EdnsCallOption(boolean redialled, long timeMs) {
     /** The option's code. */
     public static final int CODE = 65050;
     /** Nothing told. */
-    public static final CallHints NONE = new CallHints(false, 0);
+    public static final EdnsCallOption NONE = new EdnsCallOption(false, 0);
 
     private static final int LENGTH = 5;
 
     /** The option. */
-    public EDNSOption option() {
+    public EDNSOption toOption() {
         return new GenericEDNSOption(
                 CODE,
                 ByteBuffer.allocate(LENGTH)
                         .put((byte) (redialled ? 1 : 0))
-                        .putInt((int) Math.min(Integer.MAX_VALUE, time))
+                        .putInt((int) Math.min(Integer.MAX_VALUE, timeMs))
                         .array());
     }
 
     /** What a message's OPT record tells; nothing if there is none or it is too short. */
-    public static CallHints of(OPTRecord opt) {
+    public static EdnsCallOption from(OPTRecord opt) {
         if (opt == null) {
             return NONE;
         }
@@ -42,7 +42,7 @@
             // The option's own code and length stand before its data.
             if (wire.length >= 4 + LENGTH) {
                 ByteBuffer in = ByteBuffer.wrap(wire, 4, LENGTH);
-                return new CallHints((in.get() & 1) != 0, in.getInt() & 0xffffffffL);
+                return new EdnsCallOption((in.get() & 1) != 0, in.getInt() & 0xffffffffL);
             }
         }
         return NONE;
--- a/src/main/java/damsonseam/dns/EnumReplies.java
+++ b/src/main/java/damsonseam/dns/EnumResponses.java
@@ -23,7 +23,7 @@
  * call; one that is refused or failed is told by rcode and by an Extended DNS Error of private use (RFC 8914
  * 5.2: 49152 and above), so that neither is taken for a fault of the name server.
  */
-public final class EnumReplies {
+public final class EnumResponses {
     /** Refused: the caller may come back after the advised time. */
     public static final int EDE_REFUSED = 49200;
     /** Given up: no calculator could take the call in time. */
@@ -33,10 +33,10 @@
     /** How long resolvers may keep that a number or type does not exist, in seconds. */
     private static final int NEGATIVE_TTL = 1;
 
-    private EnumReplies() {}
+    private EnumResponses() {}
 
     /** The final answer of a call as octets, cut to {@code limit} with TC set where it is longer. */
-    public static byte[] of(Message query, long call, FinalAnswer answer, Name suffix, int limit) {
+    public static byte[] finalAnswer(Message query, long call, FinalAnswer answer, Name suffix, int limit) {
         Name asked = query.getQuestion().getName();
         return switch (answer.kind()) {
             case STANDS -> {
@@ -53,7 +53,7 @@
                         query,
                         start(query, Rcode.REFUSED),
                         limit,
-                        new CallHints(false, wait).option(),
+                        new EdnsCallOption(false, wait).toOption(),
                         new ExtendedErrorCodeOption(
                                 EDE_REFUSED, answer.why() + (wait > 0 ? "; return after " + wait + " ms" : "")));
             }
@@ -90,8 +90,8 @@
     }
 
     /** REFUSED for octets that there was no time to read: only the header, with their id. */
-    public static byte[] refused(byte[] octets) {
-        Message reply = new Message(DnsCodec.id(octets));
+    public static byte[] headerOnlyRefusal(byte[] octets) {
+        Message reply = new Message(DnsCodec.messageId(octets));
         reply.getHeader().setFlag(Flags.QR);
         reply.getHeader().setOpcode(octets[2] >> 3 & 0xf);
         reply.getHeader().setRcode(Rcode.REFUSED);
@@ -122,7 +122,8 @@
     private static byte[] finish(Message query, Message reply, int limit, EDNSOption... options) {
         OPTRecord asked = query.getOPT();
         if (asked != null) {
-            reply.addRecord(new OPTRecord(DnsCodec.SAFE_UDP, 0, 0, 0, List.of(options)), Section.ADDITIONAL);
+            reply.addRecord(
+                    new OPTRecord(DnsCodec.MAX_UDP_RESPONSE_BYTES, 0, 0, 0, List.of(options)), Section.ADDITIONAL);
         }
         return reply.toWire(limit);
     }
@@ -131,7 +132,8 @@
     static byte[] badVersion(Message query, int limit) {
         Message reply = start(query, Rcode.NOERROR);
         reply.addRecord(
-                new OPTRecord(DnsCodec.SAFE_UDP, Rcode.BADVERS >> 4, 0, 0, new ArrayList<>()), Section.ADDITIONAL);
+                new OPTRecord(DnsCodec.MAX_UDP_RESPONSE_BYTES, Rcode.BADVERS >> 4, 0, 0, new ArrayList<>()),
+                Section.ADDITIONAL);
         return reply.toWire(limit);
     }
 }
--- a/src/main/java/damsonseam/dns/EnumService.java
+++ b/src/main/java/damsonseam/dns/EnumService.java
@@ -19,13 +19,13 @@
 /**
  * The side of the front that callers ask: a NAPTR question for a number under the suffix is a call (RFC 6116),
  * and its answer is the call's final answer. A question sent again is the same call. Sockets hand their octets
- * to {@link #question}; nothing here waits.
+ * to {@link #handleQuery}; nothing here waits.
  */
 public final class EnumService {
 
     /** Where an answer goes. */
     @FunctionalInterface
-    public interface ReplyTo {
+    public interface ResponseSender {
         /** Sends one answer. */
         void send(byte[] answer);
     }
@@ -37,39 +37,39 @@
         /** Questions of a class, type, suffix or opcode that is not served. */
         public long notServed;
         /** Questions that had been asked before. */
-        public long repeated;
+        public long duplicates;
         /** Questions turned away by the gate of streams. */
-        public long turnedAway;
+        public long rejected;
         /** Questions for which there was no room. */
-        public long noRoom;
+        public long tableFull;
     }
 
     /** What a question may be turned away for before it becomes a call. */
     @FunctionalInterface
-    public interface Gate {
+    public interface AdmissionControl {
         /** Takes every call. */
-        Gate OPEN = (now, callClass, source) -> -1;
+        AdmissionControl ADMIT_ALL = (now, callClass, source) -> -1;
 
         /** Negative to take a call of this class from there, else how long its caller is asked to stay away. */
         long decide(double now, int callClass, Object source);
     }
 
     /** Why a question was turned away before it became a call. */
-    public static final String BUSY = "front busy";
+    public static final String FRONT_BUSY = "front busy";
 
     private final Name suffix;
-    private final PlainQuestion.Suffix plainSuffix;
+    private final FastPathQuery.WireSuffix plainSuffix;
     private final NumberPlan plan;
     private final Router router;
-    private final Transactions transactions;
+    private final TransactionTable transactions;
     private final double wayBack;
     private final Counts counts = new Counts();
 
     /** A service under a suffix; the transactions are its own; {@code wayBack} is taken off each caller's time. */
-    public EnumService(Name suffix, NumberPlan plan, Router router, Transactions transactions, double wayBack) {
+    public EnumService(Name suffix, NumberPlan plan, Router router, TransactionTable transactions, double wayBack) {
         this.wayBack = wayBack;
         this.suffix = suffix;
-        plainSuffix = new PlainQuestion.Suffix(suffix);
+        plainSuffix = new FastPathQuery.WireSuffix(suffix);
         this.plan = plan;
         this.router = router;
         this.transactions = transactions;
@@ -84,23 +84,34 @@
      * @param gate what may turn a call away; not asked for questions sent again
      * @return the call that this question opened, or null
      */
-    public CallRecord question(
-            double now, Object source, boolean stream, double age, byte[] octets, Gate gate, ReplyTo reply) {
-        PlainQuestion plain = PlainQuestion.read(octets, plainSuffix);
+    public CallRecord handleQuery(
+            double now,
+            Object source,
+            boolean stream,
+            double age,
+            byte[] octets,
+            AdmissionControl gate,
+            ResponseSender reply) {
+        FastPathQuery plain = FastPathQuery.parse(octets, plainSuffix);
         if (plain != null) {
             NumberPlan.Entry entry = plan.find(plain.number());
             if (entry != null) {
                 return call(
                         now,
-                        new Asked(source, plain, null, plain.number(), stream ? Message.MAXLENGTH : plain.limit()),
-                        plain.hints(),
+                        new Asked(
+                                source,
+                                plain,
+                                null,
+                                plain.number(),
+                                stream ? Message.MAXLENGTH : plain.maxResponseBytes()),
+                        plain.callOption(),
                         entry,
                         age,
                         gate,
                         reply);
             }
         }
-        if (DnsCodec.isAnswer(octets)) {
+        if (DnsCodec.isResponse(octets)) {
             counts.malformed++;
             return null;
         }
@@ -109,8 +120,8 @@
             query = DnsCodec.decode(octets);
         } catch (DnsFormatException e) {
             counts.malformed++;
-            if (octets.length >= DnsCodec.HEADER) {
-                reply.send(EnumReplies.formatError(DnsCodec.id(octets)));
+            if (octets.length >= DnsCodec.HEADER_BYTES) {
+                reply.send(EnumResponses.formatError(DnsCodec.messageId(octets)));
             }
             return null;
         }
@@ -122,17 +133,17 @@
             return null;
         }
         Record asked = query.getQuestion();
-        String number = E164Name.number(asked.getName(), suffix);
+        String number = E164Name.toNumber(asked.getName(), suffix);
         NumberPlan.Entry entry = number == null ? null : plan.find(number);
         if (entry == null || asked.getType() != Type.NAPTR) {
             boolean exists = asked.getName().equals(suffix) || entry != null;
-            reply.send(EnumReplies.negative(query, exists ? Rcode.NOERROR : Rcode.NXDOMAIN, suffix, limit));
+            reply.send(EnumResponses.negative(query, exists ? Rcode.NOERROR : Rcode.NXDOMAIN, suffix, limit));
             return null;
         }
         return call(
                 now,
                 new Asked(source, null, query, number, limit),
-                CallHints.of(query.getOPT()),
+                EdnsCallOption.from(query.getOPT()),
                 entry,
                 age,
                 gate,
@@ -145,65 +156,71 @@
      * @param source as the key of questions sent again
      * @param age how long it may have waited, in milliseconds
      */
-    public CallRecord question(
-            double now, Object source, double age, PlainQuestion plain, NumberPlan.Entry entry, ReplyTo reply) {
+    public CallRecord handleQuery(
+            double now, Object source, double age, FastPathQuery plain, NumberPlan.Entry entry, ResponseSender reply) {
         return call(
                 now,
-                new Asked(source, plain, null, plain.number(), plain.limit()),
-                plain.hints(),
+                new Asked(source, plain, null, plain.number(), plain.maxResponseBytes()),
+                plain.callOption(),
                 entry,
                 age,
-                Gate.OPEN,
+                AdmissionControl.ADMIT_ALL,
                 reply);
     }
 
     /** A question for a number, read the short way or the long one. */
-    private record Asked(Object source, PlainQuestion plain, Message query, String number, int limit) {
-        Transactions.Key key() {
-            return new Transactions.Key(
+    private record Asked(Object source, FastPathQuery plain, Message query, String number, int limit) {
+        TransactionTable.Key key() {
+            return new TransactionTable.Key(
                     source, plain != null ? plain.id() : query.getHeader().getID(), number);
         }
 
         Message message() {
             try {
-                return query != null ? query : DnsCodec.decode(plain.octets());
+                return query != null ? query : DnsCodec.decode(plain.bytes());
             } catch (DnsFormatException e) {
                 throw new IllegalStateException("a plain question that is no message", e);
             }
         }
 
         byte[] answer(long call, FinalAnswer answer, Name suffix) {
-            byte[] octets = plain == null ? null : PlainReply.of(plain, call, answer, limit);
-            return octets != null ? octets : EnumReplies.of(message(), call, answer, suffix, limit);
+            byte[] octets = plain == null ? null : FastPathResponse.encode(plain, call, answer, limit);
+            return octets != null ? octets : EnumResponses.finalAnswer(message(), call, answer, suffix, limit);
         }
     }
 
     private CallRecord call(
-            double now, Asked asked, CallHints hints, NumberPlan.Entry entry, double age, Gate gate, ReplyTo reply) {
-        Transactions.Key key = asked.key();
-        Transactions.Entry known = transactions.find(key, now);
+            double now,
+            Asked asked,
+            EdnsCallOption hints,
+            NumberPlan.Entry entry,
+            double age,
+            AdmissionControl gate,
+            ResponseSender reply) {
+        TransactionTable.Key key = asked.key();
+        TransactionTable.Entry known = transactions.find(key, now);
         if (known != null) {
-            counts.repeated++;
-            if (known.answer() != null) {
-                reply.send(known.answer());
+            counts.duplicates++;
+            if (known.response() != null) {
+                reply.send(known.response());
             }
             return null;
         }
         if (!transactions.open(key, now)) {
-            counts.noRoom++;
-            reply.send(EnumReplies.error(
-                    asked.message(), Rcode.REFUSED, EnumReplies.EDE_REFUSED, "no room", asked.limit()));
+            counts.tableFull++;
+            reply.send(EnumResponses.error(
+                    asked.message(), Rcode.REFUSED, EnumResponses.EDE_REFUSED, "no room", asked.limit()));
             return null;
         }
         long advice = gate.decide(now, entry.callClass(), asked.source());
         if (advice >= 0) {
-            counts.turnedAway++;
-            byte[] octets = asked.answer(0, new FinalAnswer(FinalAnswer.Kind.REFUSED, "", advice, BUSY), suffix);
-            transactions.answer(key, octets, now);
+            counts.rejected++;
+            byte[] octets = asked.answer(0, new FinalAnswer(FinalAnswer.Kind.REFUSED, "", advice, FRONT_BUSY), suffix);
+            transactions.complete(key, octets, now);
             reply.send(octets);
             return null;
         }
-        double timeLeft = hints.time() > 0 ? Math.min(hints.time(), entry.patience()) : entry.patience();
+        double timeLeft = hints.timeMs() > 0 ? Math.min(hints.timeMs(), entry.patience()) : entry.patience();
         return router.offered(
                 now,
                 asked.number(),
@@ -213,7 +230,7 @@
                 hints.redialled(),
                 (at, call, answer) -> {
                     byte[] octets = asked.answer(call.id(), answer, suffix);
-                    transactions.answer(key, octets, at);
+                    transactions.complete(key, octets, at);
                     reply.send(octets);
                 });
     }
@@ -224,15 +241,17 @@
         }
         OPTRecord opt = query.getOPT();
         return opt == null
-                ? DnsCodec.PLAIN_UDP
-                : Math.max(DnsCodec.PLAIN_UDP, Math.min(DnsCodec.SAFE_UDP, opt.getPayloadSize()));
+                ? DnsCodec.MAX_UDP_BYTES_WITHOUT_EDNS
+                : Math.max(
+                        DnsCodec.MAX_UDP_BYTES_WITHOUT_EDNS,
+                        Math.min(DnsCodec.MAX_UDP_RESPONSE_BYTES, opt.getPayloadSize()));
     }
 
     /** The answer to a question that is no call for this front, or null if it may be one. */
     private byte[] notServed(Message query, int limit) {
         Header header = query.getHeader();
         if (header.getOpcode() != Opcode.QUERY) {
-            return EnumReplies.error(
+            return EnumResponses.error(
                     query,
                     Rcode.NOTIMP,
                     ExtendedErrorCodeOption.NOT_SUPPORTED,
@@ -240,7 +259,7 @@
                     limit);
         }
         if (header.getCount(Section.QUESTION) != 1 || query.getQuestion() == null) {
-            return EnumReplies.error(
+            return EnumResponses.error(
                     query,
                     Rcode.FORMERR,
                     ExtendedErrorCodeOption.OTHER,
@@ -252,14 +271,14 @@
                         .count()
                 > 1) {
             // RFC 6891 6.1.1: more than one OPT is a format error.
-            return EnumReplies.error(query, Rcode.FORMERR, ExtendedErrorCodeOption.OTHER, "more than one OPT", limit);
+            return EnumResponses.error(query, Rcode.FORMERR, ExtendedErrorCodeOption.OTHER, "more than one OPT", limit);
         }
         if (query.getOPT() != null && query.getOPT().getVersion() > 0) {
-            return EnumReplies.badVersion(query, limit);
+            return EnumResponses.badVersion(query, limit);
         }
         Record asked = query.getQuestion();
         if (asked.getDClass() != DClass.IN) {
-            return EnumReplies.error(
+            return EnumResponses.error(
                     query,
                     Rcode.REFUSED,
                     ExtendedErrorCodeOption.NOT_SUPPORTED,
@@ -267,7 +286,7 @@
                     limit);
         }
         if (!asked.getName().subdomain(suffix)) {
-            return EnumReplies.error(
+            return EnumResponses.error(
                     query, Rcode.REFUSED, ExtendedErrorCodeOption.NOT_AUTHORITATIVE, "not under " + suffix, limit);
         }
         return null;
--- a/src/main/java/damsonseam/dns/PlainQuestion.java
+++ b/src/main/java/damsonseam/dns/FastPathQuery.java
@@ -14,30 +14,30 @@
  * <p>Why beside a library: with {@code Message} and {@code Name} a call allocated some ten kilobytes for its two
  * messages, and a question could not be turned away for less than a call costs. See {@code docs/OVERLOAD.md}.
  */
-public final class PlainQuestion {
+public final class FastPathQuery {
     private static final int OPT_FIXED = 11;
     private static final int OPTION_HEAD = 4;
     private static final int HINTS = 5;
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    private final byte[] octets;
-    private final int questionEnd;
+    private final byte[] bytes;
+    private final int questionEndOffset;
     private final String number;
-    private final boolean edns;
+    private final boolean hasEdns;
     private final int payload;
-    private final CallHints hints;
+    private final EdnsCallOption callOption;
 
     /** The suffix in the form in which questions hold it. */
-    public static final class Suffix {
+    public static final class WireSuffix {
         private final byte[] wire;
 
         /** The wire form of a domain name. */
-        public Suffix(Name name) {
+        public WireSuffix(Name name) {
             wire = name.toWireCanonical();
         }
 
-        private boolean at(byte[] in, int from) {
+        private boolean matchesAt(byte[] in, int from) {
             if (from + wire.length > in.length) {
                 return false;
             }
@@ -52,19 +52,20 @@
         }
     }
 
-    private PlainQuestion(byte[] octets, int questionEnd, String number, boolean edns, int payload, CallHints hints) {
-        this.octets = octets;
-        this.questionEnd = questionEnd;
+    private FastPathQuery(
+            byte[] octets, int questionEnd, String number, boolean edns, int payload, EdnsCallOption hints) {
+        this.bytes = octets;
+        this.questionEndOffset = questionEnd;
         this.number = number;
-        this.edns = edns;
+        this.hasEdns = edns;
         this.payload = payload;
-        this.hints = hints;
+        this.callOption = hints;
     }
 
     /** Reads octets; null if they are not of the plain form. */
-    public static PlainQuestion read(byte[] in, Suffix suffix) {
+    public static FastPathQuery parse(byte[] in, WireSuffix suffix) {
         // A query of opcode 0, not truncated; one question, no answers, no authority, at most one more record.
-        if (in.length < DnsCodec.HEADER
+        if (in.length < DnsCodec.HEADER_BYTES
                 || (in[2] & 0xfe) != 0
                 || (in[3] & 0x0f) != 0
                 || u16(in, 4) != 1
@@ -73,13 +74,13 @@
                 || u16(in, 10) > 1) {
             return null;
         }
-        int at = DnsCodec.HEADER;
+        int at = DnsCodec.HEADER_BYTES;
         int digits = 0;
         while (at + 1 < in.length && in[at] == 1 && in[at + 1] >= '0' && in[at + 1] <= '9') {
             at += 2;
             digits++;
         }
-        if (digits < 1 || digits > E164Name.MOST_DIGITS || !suffix.at(in, at)) {
+        if (digits < 1 || digits > E164Name.MAX_DIGITS || !suffix.matchesAt(in, at)) {
             return null;
         }
         int end = at + suffix.wire.length + 4;
@@ -88,19 +89,19 @@
         }
         byte[] number = new byte[digits];
         for (int i = 0; i < digits; i++) {
-            number[digits - 1 - i] = in[DnsCodec.HEADER + 2 * i + 1];
+            number[digits - 1 - i] = in[DnsCodec.HEADER_BYTES + 2 * i + 1];
         }
         String text = new String(number, StandardCharsets.ISO_8859_1);
         if (u16(in, 10) == 0) {
             return end == in.length
-                    ? new PlainQuestion(in, end, text, false, DnsCodec.PLAIN_UDP, CallHints.NONE)
+                    ? new FastPathQuery(in, end, text, false, DnsCodec.MAX_UDP_BYTES_WITHOUT_EDNS, EdnsCallOption.NONE)
                     : null;
         }
         return withOpt(in, end, text);
     }
 
     /** One OPT of version 0 up to the end of the message (RFC 6891 6.1.2), its options whole. */
-    private static PlainQuestion withOpt(byte[] in, int end, String number) {
+    private static FastPathQuery withOpt(byte[] in, int end, String number) {
         if (in.length < end + OPT_FIXED
                 || in[end] != 0
                 || u16(in, end + 1) != Type.OPT
@@ -109,23 +110,23 @@
                 || u16(in, end + 9) != in.length - end - OPT_FIXED) {
             return null;
         }
-        CallHints hints = null;
+        EdnsCallOption hints = null;
         for (int at = end + OPT_FIXED; at < in.length; ) {
             if (at + OPTION_HEAD > in.length || at + OPTION_HEAD + u16(in, at + 2) > in.length) {
                 return null;
             }
             int length = u16(in, at + 2);
-            if (u16(in, at) != CallHints.CODE) {
+            if (u16(in, at) != EdnsCallOption.CODE) {
                 // Options that dnsjava knows are checked by it: only unknown ones are passed over here.
                 return null;
             }
             if (hints == null && length >= HINTS) {
                 int v = at + OPTION_HEAD;
-                hints = new CallHints((in[v] & 1) != 0, (long) u16(in, v + 1) << 16 | u16(in, v + 3));
+                hints = new EdnsCallOption((in[v] & 1) != 0, (long) u16(in, v + 1) << 16 | u16(in, v + 3));
             }
             at += OPTION_HEAD + length;
         }
-        return new PlainQuestion(in, end, number, true, u16(in, end + 3), hints == null ? CallHints.NONE : hints);
+        return new FastPathQuery(in, end, number, true, u16(in, end + 3), hints == null ? EdnsCallOption.NONE : hints);
     }
 
     private static int u16(byte[] in, int at) {
@@ -134,7 +135,7 @@
 
     /** The id that its caller gave it. */
     public int id() {
-        return u16(octets, 0);
+        return u16(bytes, 0);
     }
 
     /** The digits asked for. */
@@ -143,28 +144,28 @@
     }
 
     /** Whether it came with an OPT record, so that its answer may have one. */
-    public boolean edns() {
-        return edns;
+    public boolean hasEdns() {
+        return hasEdns;
     }
 
     /** Octets that its caller takes by UDP. */
-    public int limit() {
-        return Math.max(DnsCodec.PLAIN_UDP, Math.min(DnsCodec.SAFE_UDP, payload));
+    public int maxResponseBytes() {
+        return Math.max(DnsCodec.MAX_UDP_BYTES_WITHOUT_EDNS, Math.min(DnsCodec.MAX_UDP_RESPONSE_BYTES, payload));
     }
 
     /** What its caller says of itself. */
-    public CallHints hints() {
-        return hints;
+    public EdnsCallOption callOption() {
+        return callOption;
     }
 
     /** The whole message as it came. */
-    public byte[] octets() {
-        return octets;
+    public byte[] bytes() {
+        return bytes;
     }
 
     /** Where its question ends: the part that an answer repeats. */
-    int questionEnd() {
-        return questionEnd;
+    int questionEndOffset() {
+        return questionEndOffset;
     }
 
     /** A fingerprint of id, number and where it came from: the same for the same question sent again. */
--- a/src/main/java/damsonseam/dns/LookupCache.java
+++ b/src/main/java/damsonseam/dns/LookupCache.java
@@ -21,7 +21,7 @@
     private static final int MAKES_ROOM = 1_000;
     private final double staleFor;
     private final int limit;
-    private int room;
+    private int limitCapacity;
 
     private static final class Entry {
         Candidates candidates;
@@ -30,7 +30,7 @@
     }
 
     /** What the cache knows: fresh, or only stale, and whether a look-up has just failed. */
-    public record Known(Candidates candidates, boolean fresh, boolean justFailed) {}
+    public record CachedResult(Candidates candidates, boolean isFresh, boolean failedRecently) {}
 
     /**
      * An empty cache.
@@ -41,19 +41,19 @@
     public LookupCache(int limit, double staleFor) {
         this.staleFor = staleFor;
         this.limit = limit;
-        room = limit;
+        limitCapacity = limit;
         entries = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<String, Entry> eldest) {
-                return size() > room;
+                return size() > limitCapacity;
             }
         };
     }
 
     /** What is known of a number; null if nothing is that may be used. */
-    public Known find(String number, double now) {
+    public CachedResult find(String number, double now) {
         Entry entry = entries.get(number);
         if (entry == null) {
             return null;
@@ -64,7 +64,7 @@
             entries.remove(number);
             return null;
         }
-        return new Known(usable ? entry.candidates : null, usable && now < entry.freshUntil, failed);
+        return new CachedResult(usable ? entry.candidates : null, usable && now < entry.freshUntil, failed);
     }
 
     /** A number was found, or found not to exist; {@code ttl} is in seconds. */
@@ -77,7 +77,7 @@
     }
 
     /** No authority could be made to answer; what was known stays as a stale answer. */
-    public void failed(String number, double now) {
+    public void recordFailure(String number, double now) {
         entries.computeIfAbsent(number, n -> new Entry()).failedUntil = now + FAILURE_SPAN;
     }
 
@@ -85,10 +85,10 @@
      * Gives the cache this share of its room from now on; what is too much goes a thousand numbers a call, the least
      * lately used first.
      */
-    public void room(double share) {
-        room = Math.max(1, (int) (limit * Math.min(1, share)));
+    public void limitCapacity(double share) {
+        limitCapacity = Math.max(1, (int) (limit * Math.min(1, share)));
         var eldest = entries.keySet().iterator();
-        for (int i = 0; i < MAKES_ROOM && entries.size() > room; i++) {
+        for (int i = 0; i < MAKES_ROOM && entries.size() > limitCapacity; i++) {
             eldest.next();
             eldest.remove();
         }
--- a/src/main/java/damsonseam/dns/NaptrRules.java
+++ b/src/main/java/damsonseam/dns/NaptrRules.java
@@ -15,7 +15,7 @@
  */
 public final class NaptrRules {
     /** Rules looked at in one answer; those beyond, which come last, are passed over. */
-    public static final int MOST = 32;
+    public static final int MAX_RULES = 32;
 
     private static final int MOST_PATTERN = 256;
     private static final String SERVICE = "E2U+SIP";
@@ -23,11 +23,11 @@
     private NaptrRules() {}
 
     /** The host parts of the URIs that a number leads to, first choice first; rules that do not fit are left out. */
-    public static List<String> servers(String number, List<NAPTRRecord> records) {
+    public static List<String> serverHosts(String number, List<NAPTRRecord> records) {
         List<NAPTRRecord> sorted = new ArrayList<>(records);
         sorted.sort(Comparator.comparingInt(NAPTRRecord::getOrder).thenComparingInt(NAPTRRecord::getPreference));
         List<String> servers = new ArrayList<>();
-        for (NAPTRRecord rule : sorted.subList(0, Math.min(MOST, sorted.size()))) {
+        for (NAPTRRecord rule : sorted.subList(0, Math.min(MAX_RULES, sorted.size()))) {
             if (rule.getFlags().equalsIgnoreCase("u") && rule.getService().equalsIgnoreCase(SERVICE)) {
                 String host = host(substitute("+" + number, plain(rule.getRegexp())));
                 if (host != null && !servers.contains(host)) {
--- a/src/main/java/damsonseam/dns/Resolver.java
+++ b/src/main/java/damsonseam/dns/Resolver.java
@@ -33,51 +33,51 @@
     /** Answers with the wrong id or question after which a question is asked over TCP: somebody is guessing. */
     private static final int MOST_MISMATCHES = 4;
 
-    private static final int EDNS_SIZE = DnsCodec.SAFE_UDP;
+    private static final int EDNS_SIZE = DnsCodec.MAX_UDP_RESPONSE_BYTES;
 
     /** Where questions go. */
     public interface Output {
         /** Sends a question from the socket with this number. */
-        void udp(int authority, int socket, byte[] question);
+        void sendUdp(int authority, int socket, byte[] question);
 
-        /** Asks over a stream; the answer comes to {@link #answer} with {@link #STREAM} as its socket. */
-        void tcp(int authority, byte[] question);
+        /** Asks over a stream; the answer comes to {@link #onResponse} with {@link #TCP_SOCKET} as its socket. */
+        void sendTcp(int authority, byte[] question);
 
         /** The look-up of a call is done. */
-        void lookedUp(double now, long call, Candidates candidates);
+        void onLookupComplete(double now, long call, Candidates candidates);
     }
 
     /** Stands for a stream where answers name the socket that they came to. */
-    public static final int STREAM = -1;
+    public static final int TCP_SOCKET = -1;
 
     /**
      * Limits of the resolver.
      *
-     * @param sockets UDP sockets to draw from
-     * @param tries questions sent for one look-up at most
-     * @param mostLookups look-ups out at one time at most; one more has failed at once
-     * @param staleAfter after how long an old answer is given where there is one, in milliseconds
+     * @param udpSockets UDP sockets to draw from
+     * @param maxQueries questions sent for one look-up at most
+     * @param maxPendingLookups look-ups out at one time at most; one more has failed at once
+     * @param staleAfterMs after how long an old answer is given where there is one, in milliseconds
      */
-    public record Limits(int sockets, int tries, int mostLookups, double staleAfter) {}
+    public record Limits(int udpSockets, int maxQueries, int maxPendingLookups, double staleAfterMs) {}
 
     /** Counts for reports. */
     public static final class Counts {
         /** Look-ups answered from the cache. */
-        public long cached;
+        public long cacheHits;
         /** Look-ups answered with an old answer. */
-        public long stale;
+        public long staleResults;
         /** Look-ups that joined one that was out. */
-        public long joined;
+        public long coalesced;
         /** Questions sent. */
-        public long sent;
+        public long queriesSent;
         /** Answers that fitted no question: late, forged or from elsewhere. */
-        public long mismatched;
+        public long mismatchedResponses;
         /** Answers of authorities that do not serve the zone. */
-        public long lame;
+        public long lameResponses;
         /** Questions asked over TCP. */
-        public long streams;
+        public long tcpQueries;
         /** Look-ups that failed. */
-        public long failed;
+        public long failedLookups;
     }
 
     private record Asked(int id, int authority, int socket, Name name, double at) {}
@@ -105,11 +105,11 @@
 
     private final Name suffix;
     private final LookupCache cache;
-    private final Authorities authorities;
+    private final AuthoritySelector authorities;
     private final Timers timers;
     private final SplittableRandom random;
     private final Limits limits;
-    private final Output out;
+    private final Output pendingLookups;
     private final Map<String, Lookup> lookups = new HashMap<>();
     /** Look-ups by the id of each question out: ids may be shared, so each has a short list. */
     private final Map<Integer, List<Lookup>> byId = new HashMap<>();
@@ -123,7 +123,7 @@
     public Resolver(
             Name suffix,
             LookupCache cache,
-            Authorities authorities,
+            AuthoritySelector authorities,
             Timers timers,
             long seed,
             Limits limits,
@@ -133,12 +133,12 @@
         this.authorities = authorities;
         this.timers = timers;
         this.limits = limits;
-        this.out = out;
+        this.pendingLookups = out;
         random = new SplittableRandom(seed);
     }
 
     /** Moves the clock; call it before anything else of a moment. */
-    public void clock(double at) {
+    public void advanceClock(double at) {
         now = Math.max(now, at);
     }
 
@@ -146,27 +146,27 @@
 
     @Override
     public void lookUp(long call, String number, double deadline) {
-        LookupCache.Known kept = cache.find(number, now);
-        if (kept != null && kept.fresh()) {
-            counts.cached++;
+        LookupCache.CachedResult kept = cache.find(number, now);
+        if (kept != null && kept.isFresh()) {
+            counts.cacheHits++;
             tell(call, kept.candidates());
             return;
         }
         Candidates stale = kept == null ? null : kept.candidates();
-        if (kept != null && kept.justFailed()) {
-            counts.stale += stale == null ? 0 : 1;
-            counts.failed += stale == null ? 1 : 0;
+        if (kept != null && kept.failedRecently()) {
+            counts.staleResults += stale == null ? 0 : 1;
+            counts.failedLookups += stale == null ? 1 : 0;
             tell(call, stale == null ? Candidates.UNAVAILABLE : stale);
             return;
         }
         Lookup lookup = lookups.get(number);
         if (lookup != null) {
-            counts.joined++;
+            counts.coalesced++;
             join(lookup, call, deadline);
             return;
         }
-        if (lookups.size() >= limits.mostLookups()) {
-            counts.failed++;
+        if (lookups.size() >= limits.maxPendingLookups()) {
+            counts.failedLookups++;
             tell(call, stale == null ? Candidates.UNAVAILABLE : stale);
             return;
         }
@@ -176,8 +176,8 @@
         join(lookup, call, deadline);
         if (stale != null) {
             Lookup late = lookup;
-            lookup.staleTimer = timers.set(now + limits.staleAfter(), at -> {
-                clock(at);
+            lookup.staleTimer = timers.set(now + limits.staleAfterMs(), at -> {
+                advanceClock(at);
                 giveStale(late);
             });
         }
@@ -191,23 +191,23 @@
 
     /** The answer must not come from within the caller's own event, but in the same turn. */
     private void tell(long call, Candidates candidates) {
-        known.add(() -> out.lookedUp(now, call, candidates));
+        known.add(() -> pendingLookups.onLookupComplete(now, call, candidates));
     }
 
     /** Tells what was known without asking; call it once a turn, before the core acts. */
-    public void deliver(double at) {
-        clock(at);
+    public void deliverKnownResults(double at) {
+        advanceClock(at);
         for (Runnable answer = known.poll(); answer != null; answer = known.poll()) {
             answer.run();
         }
     }
 
     private void ask(Lookup lookup) {
-        if (lookup.tries >= limits.tries() || now >= lookup.deadline) {
+        if (lookup.tries >= limits.maxQueries() || now >= lookup.deadline) {
             fail(lookup);
             return;
         }
-        int authority = authorities.choose(lookup.askedOf, now);
+        int authority = authorities.select(lookup.askedOf, now);
         send(lookup, authority, lookup.mismatches >= MOST_MISMATCHES);
     }
 
@@ -215,27 +215,27 @@
         lookup.tries++;
         lookup.askedOf[authority]++;
         int id = random.nextInt(1 << 16);
-        int socket = stream ? STREAM : random.nextInt(limits.sockets());
-        Name name = mixedCase(E164Name.of(lookup.number, suffix));
+        int socket = stream ? TCP_SOCKET : random.nextInt(limits.udpSockets());
+        Name name = mixedCase(E164Name.toName(lookup.number, suffix));
         Asked asked = new Asked(id, authority, socket, name, now);
         lookup.asked.add(asked);
         byId.computeIfAbsent(id, i -> new ArrayList<>(1)).add(lookup);
-        counts.sent++;
+        counts.queriesSent++;
         byte[] question = question(id, name);
         timers.cancel(lookup.timer);
-        double until = now + authorities.patience(authority);
+        double until = now + authorities.timeoutMs(authority);
         lookup.timer = timers.set(Math.min(until, lookup.deadline), at -> {
-            clock(at);
+            advanceClock(at);
             if (now >= until) {
-                authorities.silent(authority);
+                authorities.recordTimeout(authority);
             }
             ask(lookup);
         });
         if (stream) {
-            counts.streams++;
-            out.tcp(authority, question);
+            counts.tcpQueries++;
+            pendingLookups.sendTcp(authority, question);
         } else {
-            out.udp(authority, socket, question);
+            pendingLookups.sendUdp(authority, socket, question);
         }
     }
 
@@ -264,13 +264,13 @@
     // ---- Answers ----------------------------------------------------------------------------------------
 
     /** Octets came from an authority to a socket, or over a stream. */
-    public void answer(double at, int authority, int socket, byte[] octets) {
-        clock(at);
+    public void onResponse(double at, int authority, int socket, byte[] octets) {
+        advanceClock(at);
         Message message;
         try {
             message = DnsCodec.decode(octets);
         } catch (DnsFormatException e) {
-            mismatch(DnsCodec.id(octets));
+            mismatch(DnsCodec.messageId(octets));
             return;
         }
         int id = message.getHeader().getID();
@@ -298,7 +298,7 @@
 
     /** Guards against guessed answers: those that hit an id but miss the rest count against its question. */
     private void mismatch(int id) {
-        counts.mismatched++;
+        counts.mismatchedResponses++;
         for (Lookup lookup : List.copyOf(byId.getOrDefault(id, List.of()))) {
             if (++lookup.mismatches == MOST_MISMATCHES) {
                 ask(lookup);
@@ -307,8 +307,8 @@
     }
 
     private void answered(Lookup lookup, Asked asked, Message message) {
-        authorities.answered(asked.authority(), now - asked.at());
-        if (message.getHeader().getFlag(Flags.TC) && asked.socket() != STREAM) {
+        authorities.recordResponse(asked.authority(), now - asked.at());
+        if (message.getHeader().getFlag(Flags.TC) && asked.socket() != TCP_SOCKET) {
             send(lookup, asked.authority(), true);
             return;
         }
@@ -316,8 +316,8 @@
         if (rcode == Rcode.NXDOMAIN) {
             found(lookup, Candidates.UNKNOWN, negativeTtl(message));
         } else if (rcode != Rcode.NOERROR || !message.getHeader().getFlag(Flags.AA)) {
-            counts.lame++;
-            authorities.lame(asked.authority(), now);
+            counts.lameResponses++;
+            authorities.recordLame(asked.authority(), now);
             ask(lookup);
         } else {
             List<NAPTRRecord> rules = new ArrayList<>();
@@ -328,7 +328,7 @@
                     ttl = Math.min(ttl, rule.getTTL());
                 }
             }
-            List<String> servers = NaptrRules.servers(lookup.number, rules);
+            List<String> servers = NaptrRules.serverHosts(lookup.number, rules);
             boolean none = servers.isEmpty();
             found(
                     lookup,
@@ -350,24 +350,25 @@
     private void found(Lookup lookup, Candidates candidates, long ttl) {
         cache.put(lookup.number, candidates, ttl, now);
         close(lookup);
-        lookup.waiting.forEach(w -> out.lookedUp(now, w.call(), candidates));
+        lookup.waiting.forEach(w -> pendingLookups.onLookupComplete(now, w.call(), candidates));
     }
 
     private void fail(Lookup lookup) {
-        cache.failed(lookup.number, now);
+        cache.recordFailure(lookup.number, now);
         close(lookup);
         boolean old = lookup.stale != null;
-        counts.stale += old ? lookup.waiting.size() : 0;
-        counts.failed += old ? 0 : lookup.waiting.size();
-        lookup.waiting.forEach(w -> out.lookedUp(now, w.call(), old ? lookup.stale : Candidates.UNAVAILABLE));
+        counts.staleResults += old ? lookup.waiting.size() : 0;
+        counts.failedLookups += old ? 0 : lookup.waiting.size();
+        lookup.waiting.forEach(
+                w -> pendingLookups.onLookupComplete(now, w.call(), old ? lookup.stale : Candidates.UNAVAILABLE));
     }
 
     /** The calls that wait get the old answer; the look-up goes on for those to come. */
     private void giveStale(Lookup lookup) {
-        counts.stale += lookup.waiting.size();
+        counts.staleResults += lookup.waiting.size();
         List<Waiting> waiting = List.copyOf(lookup.waiting);
         lookup.waiting.clear();
-        waiting.forEach(w -> out.lookedUp(now, w.call(), lookup.stale));
+        waiting.forEach(w -> pendingLookups.onLookupComplete(now, w.call(), lookup.stale));
     }
 
     private void close(Lookup lookup) {
@@ -386,7 +387,7 @@
     }
 
     /** Look-ups out now. */
-    public int out() {
+    public int pendingLookups() {
         return lookups.size();
     }
 
--- a/src/main/java/damsonseam/dns/Transactions.java
+++ b/src/main/java/damsonseam/dns/TransactionTable.java
@@ -9,7 +9,7 @@
  * answer it gets that answer again, byte for byte. The table is bounded; where it is full the oldest answered
  * one makes room, and where none is answered the new question is not taken.
  */
-public final class Transactions {
+public final class TransactionTable {
 
     /** What tells one question from another: where it came from, its id, and the number asked for. */
     public record Key(Object source, int id, String number) {}
@@ -17,15 +17,15 @@
     /** What is known of a question. */
     public static final class Entry {
         private final double at;
-        private byte[] answer;
+        private byte[] response;
 
         Entry(double at) {
             this.at = at;
         }
 
         /** The answer given, or null while its call is open. */
-        public byte[] answer() {
-            return answer;
+        public byte[] response() {
+            return response;
         }
     }
 
@@ -40,7 +40,7 @@
      * @param limit questions kept at most
      * @param keep how long an answer is kept for a question sent again, in milliseconds
      */
-    public Transactions(int limit, double keep) {
+    public TransactionTable(int limit, double keep) {
         this.limit = limit;
         this.keep = keep;
     }
@@ -67,10 +67,10 @@
     }
 
     /** The question has its answer. */
-    public void answer(Key key, byte[] answer, double now) {
+    public void complete(Key key, byte[] answer, double now) {
         if (open.remove(key) != null) {
             Entry entry = new Entry(now);
-            entry.answer = answer;
+            entry.response = answer;
             answered.put(key, entry);
         }
     }
--- a/src/main/java/damsonseam/front/CallQueue.java
+++ b/src/main/java/damsonseam/front/CallQueue.java
@@ -1,7 +1,7 @@
 package damsonseam.front;
 
 import damsonseam.core.NumberPlan;
-import damsonseam.dns.PlainQuestion;
+import damsonseam.dns.FastPathQuery;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -23,7 +23,7 @@
      */
     record Waiting(
             InetSocketAddress from,
-            PlainQuestion plain,
+            FastPathQuery plain,
             NumberPlan.Entry entry,
             byte[] octets,
             double readAt,
--- a/src/main/java/damsonseam/front/DnsListener.java
+++ b/src/main/java/damsonseam/front/DnsListener.java
@@ -4,7 +4,7 @@
 import damsonseam.core.NumberPlan;
 import damsonseam.core.Router;
 import damsonseam.dns.EnumService;
-import damsonseam.dns.PlainQuestion;
+import damsonseam.dns.FastPathQuery;
 import damsonseam.loop.Loop;
 import damsonseam.overload.Admission;
 import damsonseam.overload.HeavySenders;
@@ -28,7 +28,7 @@
     private final Loop loop;
     private final EnumService service;
     private final Router router;
-    private final EnumService.Gate gate;
+    private final EnumService.AdmissionControl gate;
     private final CallQueue queue;
     private final FrontLoad load;
     private final Intake intake;
@@ -43,7 +43,7 @@
             Router router,
             FrontSettings settings,
             NumberPlan plan,
-            PlainQuestion.Suffix suffix,
+            FastPathQuery.WireSuffix suffix,
             Supplier<Admission> admission) {
         this.loop = loop;
         this.service = service;
@@ -122,11 +122,11 @@
     private void take(CallQueue.Waiting next) {
         double now = loop.now();
         double age = now - next.readAt() + next.age();
-        EnumService.ReplyTo reply = octets -> intake.answer(next.from(), octets);
+        EnumService.ResponseSender reply = octets -> intake.answer(next.from(), octets);
         if (next.plain() != null) {
-            service.question(now, next.from(), age, next.plain(), next.entry(), reply);
+            service.handleQuery(now, next.from(), age, next.plain(), next.entry(), reply);
         } else {
-            service.question(now, next.from(), false, age, next.octets(), gate, reply);
+            service.handleQuery(now, next.from(), false, age, next.octets(), gate, reply);
         }
     }
 
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -10,13 +10,13 @@
 import damsonseam.core.Router;
 import damsonseam.core.RouterSettings;
 import damsonseam.core.Story;
-import damsonseam.dns.Authorities;
+import damsonseam.dns.AuthoritySelector;
 import damsonseam.dns.E164Name;
 import damsonseam.dns.EnumService;
+import damsonseam.dns.FastPathQuery;
 import damsonseam.dns.LookupCache;
-import damsonseam.dns.PlainQuestion;
 import damsonseam.dns.Resolver;
-import damsonseam.dns.Transactions;
+import damsonseam.dns.TransactionTable;
 import damsonseam.loop.CallLog;
 import damsonseam.loop.Loop;
 import damsonseam.overload.Admission;
@@ -87,16 +87,16 @@
                 settings.upstream().authorities().stream().map(Endpoint::socket).toList();
         sockets = new ResolverSockets(loop, authorities, settings.upstream().sockets());
         FrontSettings.Limits limits = settings.limits();
-        Name suffix = E164Name.suffix(settings.enumeration().suffix());
+        Name suffix = E164Name.parseSuffix(settings.enumeration().suffix());
         Name zone = settings.upstream().suffix() == null
                 ? suffix
-                : E164Name.suffix(settings.upstream().suffix());
+                : E164Name.parseSuffix(settings.upstream().suffix());
         LookupCache cache =
                 new LookupCache(limits.numbers(), settings.upstream().staleFor().ms());
         resolver = new Resolver(
                 zone,
                 cache,
-                new Authorities(authorities.size()),
+                new AuthoritySelector(authorities.size()),
                 loop.timers(),
                 new SecureRandom().nextLong(),
                 new Resolver.Limits(
@@ -116,7 +116,7 @@
                 new CallTable(limits.calls(), System.currentTimeMillis() / 1000),
                 loop.timers(),
                 (call, number, deadline) -> {
-                    resolver.clock(loop.now());
+                    resolver.advanceClock(loop.now());
                     resolver.lookUp(call, number, deadline);
                 },
                 trunks,
@@ -127,11 +127,11 @@
                 suffix,
                 plan,
                 router,
-                new Transactions(
+                new TransactionTable(
                         limits.questions(), settings.enumeration().keepAnswers().ms()),
                 settings.enumeration().wayBack().ms());
         listener = new DnsListener(
-                loop, service, router, settings, plan, new PlainQuestion.Suffix(suffix), parts.admission());
+                loop, service, router, settings, plan, new FastPathQuery.WireSuffix(suffix), parts.admission());
         watch = new SelfWatch(settings, router, resolver, cache, listener.load());
     }
 
@@ -168,7 +168,7 @@
                         listener.intake().flush();
                     },
                     () -> {
-                        resolver.deliver(loop.now());
+                        resolver.deliverKnownResults(loop.now());
                         double before = loop.now();
                         router.settle(before);
                         watch.moment(before, loop.now() - before);
--- a/src/main/java/damsonseam/front/Intake.java
+++ b/src/main/java/damsonseam/front/Intake.java
@@ -4,10 +4,10 @@
 import damsonseam.core.NumberPlan;
 import damsonseam.core.QueueAge;
 import damsonseam.dns.DnsCodec;
-import damsonseam.dns.EnumReplies;
+import damsonseam.dns.EnumResponses;
 import damsonseam.dns.EnumService;
-import damsonseam.dns.PlainQuestion;
-import damsonseam.dns.PlainReply;
+import damsonseam.dns.FastPathQuery;
+import damsonseam.dns.FastPathResponse;
 import damsonseam.loop.Loop;
 import damsonseam.overload.Admission;
 import damsonseam.overload.HeavySenders;
@@ -64,7 +64,7 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop thread = (EventLoop) group.next();
     private final Loop loop;
-    private final PlainQuestion.Suffix suffix;
+    private final FastPathQuery.WireSuffix suffix;
     private final NumberPlan plan;
     private final Ranks ranks;
     private final Admission admission;
@@ -114,7 +114,7 @@
     Intake(
             Loop loop,
             FrontSettings settings,
-            PlainQuestion.Suffix suffix,
+            FastPathQuery.WireSuffix suffix,
             NumberPlan plan,
             Admission admission,
             FrontLoad load,
@@ -266,14 +266,14 @@
     private void question(ChannelHandlerContext ctx, InetSocketAddress from, byte[] octets) {
         double now = loop.now();
         counts.read++;
-        PlainQuestion plain = PlainQuestion.read(octets, suffix);
+        FastPathQuery plain = FastPathQuery.parse(octets, suffix);
         NumberPlan.Entry entry = plain == null ? null : plan.find(plain.number());
         if (entry == null) {
             counts.theLongWay++;
             if (!hand(0, new CallQueue.Waiting(from, null, null, octets, now, age.age(now)))
-                    && octets.length >= DnsCodec.HEADER
-                    && !DnsCodec.isAnswer(octets)) {
-                send(ctx, from, EnumReplies.refused(octets));
+                    && octets.length >= DnsCodec.HEADER_BYTES
+                    && !DnsCodec.isResponse(octets)) {
+                send(ctx, from, EnumResponses.headerOnlyRefusal(octets));
             }
             return;
         }
@@ -293,8 +293,9 @@
             return;
         }
         counts.offered[rank]++;
-        double patience =
-                plain.hints().time() > 0 ? Math.min(plain.hints().time(), entry.patience()) : entry.patience();
+        double patience = plain.callOption().timeMs() > 0
+                ? Math.min(plain.callOption().timeMs(), entry.patience())
+                : entry.patience();
         if (waiting.age() > patience - wayBack - FrontSettings.SLACK) {
             // Its caller has gone, or will have before the answer is there: told so at once, and not set up.
             counts.tooOld++;
@@ -317,13 +318,14 @@
     }
 
     private void refuse(ChannelHandlerContext ctx, CallQueue.Waiting question, long advice) {
-        PlainQuestion asked = question.plain();
+        FastPathQuery asked = question.plain();
         send(
                 ctx,
                 question.from(),
                 advice == TOO_OLD
-                        ? PlainReply.failed(asked, "waited unread too long", asked.limit())
-                        : PlainReply.refused(asked, advice, EnumService.BUSY, asked.limit()));
+                        ? FastPathResponse.encodeFailed(asked, "waited unread too long", asked.maxResponseBytes())
+                        : FastPathResponse.encodeRefused(
+                                asked, advice, EnumService.FRONT_BUSY, asked.maxResponseBytes()));
     }
 
     private static void send(ChannelHandlerContext ctx, InetSocketAddress to, byte[] octets) {
--- a/src/main/java/damsonseam/front/ResolverSockets.java
+++ b/src/main/java/damsonseam/front/ResolverSockets.java
@@ -76,17 +76,17 @@
     }
 
     private void answer(int authority, int socket, byte[] octets) {
-        resolver.answer(loop.now(), authority, socket, octets);
+        resolver.onResponse(loop.now(), authority, socket, octets);
         loop.kick();
     }
 
     @Override
-    public void udp(int authority, int socket, byte[] question) {
+    public void sendUdp(int authority, int socket, byte[] question) {
         sockets[socket].writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(question), authorities.get(authority)));
     }
 
     @Override
-    public void tcp(int authority, byte[] question) {
+    public void sendTcp(int authority, byte[] question) {
         if (streams >= MOST_STREAMS) {
             return;
         }
@@ -112,7 +112,7 @@
     }
 
     @Override
-    public void lookedUp(double now, long call, Candidates candidates) {
+    public void onLookupComplete(double now, long call, Candidates candidates) {
         router.lookedUp(now, call, candidates);
         loop.kick();
     }
@@ -140,7 +140,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            answer(authority, Resolver.STREAM, ByteBufUtil.getBytes(frame));
+            answer(authority, Resolver.TCP_SOCKET, ByteBufUtil.getBytes(frame));
             ctx.close();
         }
 
--- a/src/main/java/damsonseam/front/SelfWatch.java
+++ b/src/main/java/damsonseam/front/SelfWatch.java
@@ -93,12 +93,12 @@
         cpuAtLook = sample.loopCpuMs();
         takenAtLook = taken;
         cacheRoom = memory.cacheRoom(now);
-        cache.room(cacheRoom);
+        cache.limitCapacity(cacheRoom);
         tablePressure = Math.max(
                 memory.pressure(ranks.count()),
                 tables.pressure(
                         router.open() / (double) settings.limits().calls(),
-                        resolver.out() / (double) settings.limits().lookups(),
+                        resolver.pendingLookups() / (double) settings.limits().lookups(),
                         sample.files()));
         if (Double.isNaN(diagnoseAt)) {
             diagnoseAt = now + DIAGNOSE_EVERY;
--- a/src/main/java/damsonseam/front/StreamListener.java
+++ b/src/main/java/damsonseam/front/StreamListener.java
@@ -51,7 +51,7 @@
     private final Loop loop;
     private final EnumService service;
     private final Router router;
-    private final EnumService.Gate gate;
+    private final EnumService.AdmissionControl gate;
     private final int most;
     private final Set<Channel> all = new LinkedHashSet<>();
     /** Connections without an open question, the longest idle first. */
@@ -59,7 +59,7 @@
 
     private Channel server;
 
-    StreamListener(Loop loop, EnumService service, Router router, EnumService.Gate gate, int most) {
+    StreamListener(Loop loop, EnumService service, Router router, EnumService.AdmissionControl gate, int most) {
         this.loop = loop;
         this.service = service;
         this.router = router;
@@ -136,7 +136,7 @@
             idle.remove(ctx.channel());
             CallRecord[] opened = new CallRecord[1];
             boolean[] answered = new boolean[1];
-            opened[0] = service.question(
+            opened[0] = service.handleQuery(
                     loop.now(),
                     ctx.channel(),
                     true,
--- a/src/main/java/damsonseam/front/TrunkLink.java
+++ b/src/main/java/damsonseam/front/TrunkLink.java
@@ -9,10 +9,10 @@
 import damsonseam.core.Router;
 import damsonseam.loop.Loop;
 import damsonseam.ss7.AspSession;
-import damsonseam.ss7.Isup;
-import damsonseam.ss7.M3ua;
+import damsonseam.ss7.IsupMessage;
+import damsonseam.ss7.M3uaMessage;
 import damsonseam.ss7.ProtocolData;
-import damsonseam.ss7.SignallingException;
+import damsonseam.ss7.SignallingProtocolException;
 import damsonseam.ss7.TrunkGroup;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -73,7 +73,7 @@
         group = new TrunkGroup(
                 new Circuits(t.circuits(), own > server.pointCode()),
                 loop.timers(),
-                new TrunkGroup.Times(t.t1().ms(), t.t5().ms(), t.t17().ms()),
+                new TrunkGroup.TimerValues(t.t1().ms(), t.t5().ms(), t.t17().ms()),
                 own,
                 output);
         connect();
@@ -96,7 +96,7 @@
     }
 
     private void closeIfIdle() {
-        if (!wanted && group.busy() == 0) {
+        if (!wanted && group.busyCircuits() == 0) {
             closeHere();
         }
     }
@@ -115,7 +115,7 @@
     }
 
     boolean usable() {
-        return channel != null && session.usable() && channel.isWritable();
+        return channel != null && session.isUsable() && channel.isWritable();
     }
 
     boolean setUp(long call, int attempt, String number, int category) {
@@ -127,7 +127,7 @@
     }
 
     void probe(double now) {
-        session.probe(now);
+        session.sendProbe(now);
     }
 
     /** Sends what was written: one call to the system for all messages of a turn. */
@@ -158,7 +158,8 @@
                     protected void initChannel(SocketChannel made) {
                         made.pipeline()
                                 .addLast(
-                                        new LengthFieldBasedFrameDecoder(M3ua.MOST, 4, 4, -M3ua.HEADER, 0),
+                                        new LengthFieldBasedFrameDecoder(
+                                                M3uaMessage.MAX_FRAME_BYTES, 4, 4, -M3uaMessage.HEADER_BYTES, 0),
                                         new Handler());
                     }
                 })
@@ -189,21 +190,21 @@
         try {
             if (data.opc() == server.pointCode()
                     && data.dpc() == settings.front().pointCode()) {
-                group.received(now, Isup.decode(data.isup()));
+                group.onMessage(now, IsupMessage.decode(data.isup()));
             } else {
                 badMessages++;
             }
-        } catch (SignallingException e) {
+        } catch (SignallingProtocolException e) {
             badMessages++;
             if (data.isup().length >= 2) {
-                group.unreadable((data.isup()[0] & 0xff) | (data.isup()[1] & 0x0f) << 8, e.code());
+                group.onMalformedMessage((data.isup()[0] & 0xff) | (data.isup()[1] & 0x0f) << 8, e.code());
             }
         }
     }
 
     private final class Output implements AspSession.Output, TrunkGroup.Output {
         @Override
-        public void send(M3ua message) {
+        public void send(M3uaMessage message) {
             if (channel != null) {
                 channel.write(Unpooled.wrappedBuffer(message.encode()));
                 unsent = true;
@@ -211,13 +212,13 @@
         }
 
         @Override
-        public void send(Isup message) {
+        public void send(IsupMessage message) {
             send(new ProtocolData(
                             settings.front().pointCode(),
                             server.pointCode(),
                             message.circuit() & 0x0f,
                             message.encode())
-                    .message());
+                    .toMessage());
         }
 
         @Override
@@ -226,20 +227,20 @@
                     .addKeyValue("server", server.id())
                     .addKeyValue("why", why)
                     .addKeyValue("badMessages", badMessages)
-                    .addKeyValue("confused", group.confused())
+                    .addKeyValue("confused", group.unexpectedMessages())
                     .log("signalling closed");
             closeHere();
         }
 
         @Override
-        public void active() {
+        public void onActive() {
             pause = FIRST_PAUSE;
-            group.connectionUp(loop.now());
+            group.onConnectionUp(loop.now());
             LOG.atInfo().addKeyValue("server", server.id()).log("signalling active");
         }
 
         @Override
-        public void destination(boolean reachable, int congestionLevel) {
+        public void onDestinationState(boolean reachable, int congestionLevel) {
             LOG.atInfo()
                     .addKeyValue("server", server.id())
                     .addKeyValue("reachable", reachable)
@@ -248,23 +249,23 @@
         }
 
         @Override
-        public void data(ProtocolData data) {
+        public void onData(ProtocolData data) {
             isup(loop.now(), data);
         }
 
         @Override
-        public void probed(boolean answered, double delay) {
+        public void onProbeResult(boolean answered, double delay) {
             router.probed(loop.now(), server.id(), true, answered, delay, Report.NONE);
             loop.kick();
         }
 
         @Override
-        public void stands(double now, long call, int attempt, Report report) {
+        public void onAnswered(double now, long call, int attempt, Report report) {
             router.stands(now, call, attempt, report);
         }
 
         @Override
-        public void ended(
+        public void onOutcome(
                 double now,
                 long call,
                 int attempt,
@@ -283,7 +284,7 @@
         }
 
         @Override
-        public void released(double now, long call, int attempt) {
+        public void onReleaseComplete(double now, long call, int attempt) {
             router.released(now, call, attempt);
         }
     }
@@ -292,7 +293,7 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            session.connected(loop.now());
+            session.onConnected(loop.now());
             flush();
         }
 
@@ -306,12 +307,12 @@
             router.catchUp(loop.now());
             byte[] octets = ByteBufUtil.getBytes(frame);
             try {
-                session.received(loop.now(), M3ua.decode(octets));
-            } catch (SignallingException e) {
+                session.onMessage(loop.now(), M3uaMessage.decode(octets));
+            } catch (SignallingProtocolException e) {
                 // The frame is told back and passed over; the connection is still in step (RFC 4666 4.8).
                 badMessages++;
-                ctx.writeAndFlush(
-                        Unpooled.wrappedBuffer(M3ua.error(e.code(), octets).encode()));
+                ctx.writeAndFlush(Unpooled.wrappedBuffer(
+                        M3uaMessage.error(e.code(), octets).encode()));
             }
             closeIfIdle();
             loop.kick();
@@ -321,8 +322,8 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             channel = null;
             double now = loop.now();
-            session.closed(now);
-            group.connectionLost(now);
+            session.onClosed(now);
+            group.onConnectionLost(now);
             closedHere = false;
             loop.kick();
             again();
--- a/src/main/java/damsonseam/front/TrunkLinks.java
+++ b/src/main/java/damsonseam/front/TrunkLinks.java
@@ -10,7 +10,7 @@
 import damsonseam.core.Ports;
 import damsonseam.core.Router;
 import damsonseam.loop.Loop;
-import damsonseam.ss7.Isup;
+import damsonseam.ss7.IsupMessage;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -71,7 +71,8 @@
     public double release(double now, String server, long call, int attempt, boolean timedOut) {
         TrunkLink link = links.get(server);
         if (link != null) {
-            link.release(now, call, attempt, timedOut ? Isup.TIMER_EXPIRED : Isup.NORMAL_CLEARING);
+            link.release(
+                    now, call, attempt, timedOut ? IsupMessage.RECOVERY_ON_TIMER_EXPIRY : IsupMessage.NORMAL_CLEARING);
             link.flush();
         }
         return loop.now();
--- a/src/main/java/damsonseam/load/LoadSender.java
+++ b/src/main/java/damsonseam/load/LoadSender.java
@@ -1,8 +1,8 @@
 package damsonseam.load;
 
-import damsonseam.dns.CallHints;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.E164Name;
+import damsonseam.dns.EdnsCallOption;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -99,17 +99,17 @@
         Message question = new Message(0);
         question.addRecord(
                 Record.newRecord(
-                        E164Name.of(kind.prefix() + "0".repeat(TAIL_DIGITS), E164Name.suffix(plan.suffix())),
+                        E164Name.toName(kind.prefix() + "0".repeat(TAIL_DIGITS), E164Name.parseSuffix(plan.suffix())),
                         Type.NAPTR,
                         DClass.IN),
                 Section.QUESTION);
         question.addRecord(
                 new OPTRecord(
-                        DnsCodec.SAFE_UDP,
+                        DnsCodec.MAX_UDP_RESPONSE_BYTES,
                         0,
                         0,
                         0,
-                        List.of(new CallHints(false, Math.round(kind.patienceMs())).option())),
+                        List.of(new EdnsCallOption(false, Math.round(kind.patienceMs())).toOption())),
                 Section.ADDITIONAL);
         return question.toWire();
     }
@@ -183,7 +183,7 @@
         // Two digits name the first choice, seven the caller; they are asked for in reverse, a label each.
         long digits = tail % plan.first() * 10_000_000L + tail;
         for (int i = 0; i < TAIL_DIGITS; i++) {
-            octets[DnsCodec.HEADER + 2 * i + 1] = (byte) ('0' + digits % 10);
+            octets[DnsCodec.HEADER_BYTES + 2 * i + 1] = (byte) ('0' + digits % 10);
             digits /= 10;
         }
         s.dueAt[id] = due;
@@ -240,7 +240,7 @@
     }
 
     private void answered(Socket s) {
-        int id = in.position() < DnsCodec.HEADER ? 0 : in.getShort(0) & 0xffff;
+        int id = in.position() < DnsCodec.HEADER_BYTES ? 0 : in.getShort(0) & 0xffff;
         if (Double.isNaN(s.dueAt[id])) {
             return;
         }
--- a/src/main/java/damsonseam/ss7/AspSession.java
+++ b/src/main/java/damsonseam/ss7/AspSession.java
@@ -1,8 +1,8 @@
 package damsonseam.ss7;
 
 import damsonseam.core.Timers;
-import damsonseam.ss7.M3ua.Kind;
-import damsonseam.ss7.M3ua.Parameter;
+import damsonseam.ss7.M3uaMessage.Kind;
+import damsonseam.ss7.M3uaMessage.Parameter;
 import java.nio.ByteBuffer;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -32,22 +32,22 @@
     /** What a session asks of its connection and tells its owner. */
     public interface Output {
         /** Sends a message. */
-        void send(M3ua message);
+        void send(M3uaMessage message);
 
         /** Closes the connection: the far end does not do its part. */
         void close(String why);
 
         /** Traffic may flow. */
-        void active();
+        void onActive();
 
         /** The state of the far destination changed: whether it can be reached, and its congestion level. */
-        void destination(boolean reachable, int congestionLevel);
+        void onDestinationState(boolean reachable, int congestionLevel);
 
         /** A DATA came. */
-        void data(ProtocolData data);
+        void onData(ProtocolData data);
 
         /** A probe was answered, or not in time. */
-        void probed(boolean answered, double delay);
+        void onProbeResult(boolean answered, double delay);
     }
 
     private final Output out;
@@ -66,7 +66,7 @@
     private boolean heardSinceBeat;
     private int silentBeats;
     private boolean reachable = true;
-    private int congestion;
+    private int congestionLevel;
 
     /**
      * A session that is down.
@@ -85,15 +85,15 @@
     }
 
     /** The connection was made. */
-    public void connected(double now) {
+    public void onConnected(double now) {
         reachable = true;
-        congestion = 0;
+        congestionLevel = 0;
         silentBeats = 0;
         go(State.GOING_UP, now);
     }
 
     /** The connection is gone; probes still out have failed. */
-    public void closed(double now) {
+    public void onClosed(double now) {
         state = State.DOWN;
         timers.cancel(ackTimer);
         timers.cancel(beatTimer);
@@ -103,7 +103,7 @@
         probeTimers.clear();
         Map<Long, Double> lost = new LinkedHashMap<>(probes);
         probes.clear();
-        lost.values().forEach(sentAt -> out.probed(false, now - sentAt));
+        lost.values().forEach(sentAt -> out.onProbeResult(false, now - sentAt));
     }
 
     private void go(State to, double now) {
@@ -116,9 +116,9 @@
         timers.cancel(ackTimer);
         ackTimer = null;
         if (state == State.GOING_UP) {
-            out.send(M3ua.of(Kind.ASPUP, Parameter.number(M3ua.ASP_IDENTIFIER, aspIdentifier)));
+            out.send(M3uaMessage.of(Kind.ASPUP, Parameter.ofInt(M3uaMessage.ASP_IDENTIFIER, aspIdentifier)));
         } else if (state == State.GOING_ACTIVE) {
-            out.send(M3ua.of(Kind.ASPAC));
+            out.send(M3uaMessage.of(Kind.ASPAC));
         } else {
             return;
         }
@@ -132,7 +132,7 @@
     }
 
     /** A message came; one that may not come now is answered with an ERR and changes nothing. */
-    public void received(double now, M3ua message) throws SignallingException {
+    public void onMessage(double now, M3uaMessage message) throws SignallingProtocolException {
         heardSinceBeat = true;
         switch (message.kind()) {
             case ASPUP_ACK -> {
@@ -146,7 +146,7 @@
             case ASPAC_ACK -> {
                 if (state == State.GOING_ACTIVE) {
                     go(State.ACTIVE, now);
-                    out.active();
+                    out.onActive();
                     scheduleBeat(now);
                 }
             }
@@ -160,43 +160,46 @@
                     go(State.GOING_ACTIVE, now);
                 }
             }
-            case BEAT -> out.send(new M3ua(Kind.BEAT_ACK, message.parameters()));
+            case BEAT -> out.send(new M3uaMessage(Kind.BEAT_ACK, message.parameters()));
             case BEAT_ACK -> beatAck(now, message);
             case DATA -> {
                 if (state != State.ACTIVE) {
-                    throw new SignallingException(M3ua.UNEXPECTED_MESSAGE, "DATA while " + state);
+                    throw new SignallingProtocolException(M3uaMessage.UNEXPECTED_MESSAGE, "DATA while " + state);
                 }
-                out.data(ProtocolData.of(message));
+                out.onData(ProtocolData.from(message));
             }
             case DUNA, DAVA, SCON, DRST -> destination(message);
             case ERR, NTFY, DUPU -> {}
-            default -> throw new SignallingException(M3ua.UNEXPECTED_MESSAGE, message.kind() + " at an ASP");
+            default ->
+                throw new SignallingProtocolException(M3uaMessage.UNEXPECTED_MESSAGE, message.kind() + " at an ASP");
         }
     }
 
-    private void destination(M3ua message) throws SignallingException {
-        byte[] affected = message.value(M3ua.AFFECTED_POINT_CODE);
+    private void destination(M3uaMessage message) throws SignallingProtocolException {
+        byte[] affected = message.parameterValue(M3uaMessage.AFFECTED_POINT_CODE);
         if (affected == null) {
-            throw new SignallingException(M3ua.MISSING_PARAMETER, message.kind() + " without a point code");
+            throw new SignallingProtocolException(
+                    M3uaMessage.MISSING_PARAMETER, message.kind() + " without a point code");
         }
         if (!covers(affected)) {
             return;
         }
         switch (message.kind()) {
             case DUNA -> reachable = false;
-            case SCON -> congestion = Math.max(0, message.number(M3ua.CONGESTION_INDICATIONS));
+            case SCON -> congestionLevel = Math.max(0, message.intParameter(M3uaMessage.CONGESTION_INDICATIONS));
             default -> {
                 reachable = true;
-                congestion = 0;
+                congestionLevel = 0;
             }
         }
-        out.destination(reachable, congestion);
+        out.onDestinationState(reachable, congestionLevel);
     }
 
     /** Whether one of the listed point codes, each under a mask of its low bits, is the far one. */
-    private boolean covers(byte[] affected) throws SignallingException {
+    private boolean covers(byte[] affected) throws SignallingProtocolException {
         if (affected.length % Integer.BYTES != 0) {
-            throw new SignallingException(M3ua.PARAMETER_FIELD_ERROR, "point codes of " + affected.length + " octets");
+            throw new SignallingProtocolException(
+                    M3uaMessage.PARAMETER_FIELD_ERROR, "point codes of " + affected.length + " octets");
         }
         ByteBuffer in = ByteBuffer.wrap(affected);
         while (in.hasRemaining()) {
@@ -211,10 +214,10 @@
 
     // ---- Heartbeats -------------------------------------------------------------------------------------
 
-    /** Sends a probe; its answer comes through {@link Output#probed}. */
-    public void probe(double now) {
+    /** Sends a probe; its answer comes through {@link Output#onProbeResult}. */
+    public void sendProbe(double now) {
         if (state != State.ACTIVE || probes.size() >= MOST_PROBES) {
-            timers.set(now, at -> out.probed(false, 0));
+            timers.set(now, at -> out.onProbeResult(false, 0));
             return;
         }
         long id = nextBeat++;
@@ -222,22 +225,22 @@
         probeTimers.put(id, timers.set(now + probeTimeout, at -> {
             probeTimers.remove(id);
             if (probes.remove(id) != null) {
-                out.probed(false, at - now);
+                out.onProbeResult(false, at - now);
             }
         }));
         beat(id);
     }
 
     private void beat(long id) {
-        out.send(M3ua.of(
+        out.send(M3uaMessage.of(
                 Kind.BEAT,
                 new Parameter(
-                        M3ua.HEARTBEAT_DATA,
+                        M3uaMessage.HEARTBEAT_DATA,
                         ByteBuffer.allocate(Long.BYTES).putLong(id).array())));
     }
 
-    private void beatAck(double now, M3ua message) {
-        byte[] data = message.value(M3ua.HEARTBEAT_DATA);
+    private void beatAck(double now, M3uaMessage message) {
+        byte[] data = message.parameterValue(M3uaMessage.HEARTBEAT_DATA);
         if (data == null || data.length != Long.BYTES) {
             return;
         }
@@ -245,7 +248,7 @@
         Double sentAt = probes.remove(id);
         if (sentAt != null) {
             timers.cancel(probeTimers.remove(id));
-            out.probed(true, now - sentAt);
+            out.onProbeResult(true, now - sentAt);
         }
     }
 
@@ -267,7 +270,7 @@
     }
 
     /** Whether set-ups may go out. */
-    public boolean usable() {
+    public boolean isUsable() {
         return state == State.ACTIVE && reachable;
     }
 
@@ -277,7 +280,7 @@
     }
 
     /** The congestion level last told for the destination, 0 for none. */
-    public int congestion() {
-        return congestion;
+    public int congestionLevel() {
+        return congestionLevel;
     }
 }
--- a/src/main/java/damsonseam/ss7/Digits.java
+++ b/src/main/java/damsonseam/ss7/CalledPartyNumber.java
@@ -1,12 +1,12 @@
 package damsonseam.ss7;
 
 /** Called party number (ITU-T Q.763 3.9): digits two to an octet, the lower half first. */
-public final class Digits {
+public final class CalledPartyNumber {
     private static final int MOST = 20;
     private static final int INTERNATIONAL = 4;
     private static final int PLAN_E164 = 0x10;
 
-    private Digits() {}
+    private CalledPartyNumber() {}
 
     /** The octets of an international E.164 number. */
     public static byte[] encode(String number) {
@@ -25,9 +25,10 @@
     }
 
     /** The digits of a called party number. */
-    public static String decode(byte[] in) throws SignallingException {
+    public static String decode(byte[] in) throws SignallingProtocolException {
         if (in.length < 3 || in.length > 2 + MOST / 2) {
-            throw new SignallingException(Isup.PROTOCOL_ERROR, "a called number of " + in.length + " octets");
+            throw new SignallingProtocolException(
+                    IsupMessage.PROTOCOL_ERROR, "a called number of " + in.length + " octets");
         }
         int count = 2 * (in.length - 2) - ((in[0] & 0x80) != 0 ? 1 : 0);
         StringBuilder out = new StringBuilder(count);
@@ -37,7 +38,8 @@
                 break;
             }
             if (digit > 9) {
-                throw new SignallingException(Isup.PROTOCOL_ERROR, "digit " + digit + " in a called number");
+                throw new SignallingProtocolException(
+                        IsupMessage.PROTOCOL_ERROR, "digit " + digit + " in a called number");
             }
             out.append((char) ('0' + digit));
         }
--- a/src/main/java/damsonseam/ss7/Isup.java
+++ b/src/main/java/damsonseam/ss7/IsupMessage.java
@@ -12,32 +12,32 @@
  * @param type what it is
  * @param parameters mandatory ones first, in the table's order, then the optional ones
  */
-public record Isup(int circuit, Type type, List<Parameter> parameters) {
+public record IsupMessage(int circuit, Type type, List<Parameter> parameters) {
     /** Parameter codes (Q.763 table 5). */
-    public static final int END = 0x00;
+    public static final int END_OF_OPTIONAL_PARAMETERS = 0x00;
     /** Three octets of call identity and two of a point code. */
     public static final int CALL_REFERENCE = 0x01;
     /** Speech, unrestricted and so on. */
-    public static final int MEDIUM = 0x02;
+    public static final int TRANSMISSION_MEDIUM_REQUIREMENT = 0x02;
     /** The digits called. */
-    public static final int CALLED_NUMBER = 0x04;
+    public static final int CALLED_PARTY_NUMBER = 0x04;
     /** Satellite, continuity check and so on. */
-    public static final int CONNECTION = 0x06;
+    public static final int NATURE_OF_CONNECTION_INDICATORS = 0x06;
     /** How the call may be carried. */
-    public static final int FORWARD = 0x07;
+    public static final int FORWARD_CALL_INDICATORS = 0x07;
     /** What kind of caller it is. */
-    public static final int CATEGORY = 0x09;
+    public static final int CALLING_PARTYS_CATEGORY = 0x09;
     /** How the called side answers. */
-    public static final int BACKWARD = 0x11;
+    public static final int BACKWARD_CALL_INDICATORS = 0x11;
     /** Why a circuit is released. */
-    public static final int CAUSE = 0x12;
+    public static final int CAUSE_INDICATORS = 0x12;
     /** Circuits that a group message is about. */
     public static final int RANGE_AND_STATUS = 0x16;
     /** What a CPG tells. */
-    public static final int EVENT = 0x24;
+    public static final int EVENT_INFORMATION = 0x24;
     /** How congested the sender is, 1 or 2. */
-    public static final int CONGESTION_LEVEL = 0x27;
-    /** The load report of a calculator, by agreement of the two sides (national use), see {@link LoadReport}. */
+    public static final int AUTOMATIC_CONGESTION_LEVEL = 0x27;
+    /** A calculator's load report (national use), see {@link LoadReportParameter}. */
     public static final int LOAD_REPORT = 0xfa;
 
     /** Causes (ITU-T Q.850). */
@@ -45,15 +45,15 @@
     /** All lines of the number are in use. */
     public static final int USER_BUSY = 17;
     /** No circuit is available. */
-    public static final int NO_CIRCUIT = 34;
+    public static final int NO_CIRCUIT_AVAILABLE = 34;
     /** A signalling fault that is thought to pass. */
     public static final int TEMPORARY_FAILURE = 41;
     /** The processor turns set-ups away. */
-    public static final int SWITCH_CONGESTION = 42;
+    public static final int SWITCHING_EQUIPMENT_CONGESTION = 42;
     /** The message does not exist or is not known here. */
-    public static final int UNKNOWN_MESSAGE = 97;
+    public static final int MESSAGE_TYPE_UNKNOWN = 97;
     /** The sender gave up waiting. */
-    public static final int TIMER_EXPIRED = 102;
+    public static final int RECOVERY_ON_TIMER_EXPIRY = 102;
     /** Anything else that is wrong with a message. */
     public static final int PROTOCOL_ERROR = 111;
 
@@ -64,15 +64,28 @@
     /** The messages in use: their code, fixed parts (code and length in turn), variable parts, optional part. */
     public enum Type {
         /** Initial address: a set-up. */
-        IAM(0x01, new int[] {CONNECTION, 1, FORWARD, 2, CATEGORY, 1, MEDIUM, 1}, new int[] {CALLED_NUMBER}, true),
+        IAM(
+                0x01,
+                new int[] {
+                    NATURE_OF_CONNECTION_INDICATORS,
+                    1,
+                    FORWARD_CALL_INDICATORS,
+                    2,
+                    CALLING_PARTYS_CATEGORY,
+                    1,
+                    TRANSMISSION_MEDIUM_REQUIREMENT,
+                    1
+                },
+                new int[] {CALLED_PARTY_NUMBER},
+                true),
         /** Address complete. */
-        ACM(0x06, new int[] {BACKWARD, 2}, new int[0], true),
+        ACM(0x06, new int[] {BACKWARD_CALL_INDICATORS, 2}, new int[0], true),
         /** Connect: complete and answered at once. */
-        CON(0x07, new int[] {BACKWARD, 2}, new int[0], true),
+        CON(0x07, new int[] {BACKWARD_CALL_INDICATORS, 2}, new int[0], true),
         /** Answer. */
         ANM(0x09, new int[0], new int[0], true),
         /** Release. */
-        REL(0x0c, new int[0], new int[] {CAUSE}, true),
+        REL(0x0c, new int[0], new int[] {CAUSE_INDICATORS}, true),
         /** Release complete. */
         RLC(0x10, new int[0], new int[0], true),
         /** Reset circuit. */
@@ -90,9 +103,9 @@
         /** Group reset acknowledged. */
         GRA(0x29, new int[0], new int[] {RANGE_AND_STATUS}, false),
         /** Call progress. */
-        CPG(0x2c, new int[] {EVENT, 1}, new int[0], true),
+        CPG(0x2c, new int[] {EVENT_INFORMATION, 1}, new int[0], true),
         /** Confusion: a message that could not be understood. */
-        CFN(0x2f, new int[0], new int[] {CAUSE}, true);
+        CFN(0x2f, new int[0], new int[] {CAUSE_INDICATORS}, true);
 
         private static final Type[] BY_CODE = new Type[256];
 
@@ -119,12 +132,12 @@
     public record Parameter(int code, byte[] value) {}
 
     /** A message with these parameters. */
-    public static Isup of(int circuit, Type type, Parameter... parameters) {
-        return new Isup(circuit, type, List.of(parameters));
+    public static IsupMessage of(int circuit, Type type, Parameter... parameters) {
+        return new IsupMessage(circuit, type, List.of(parameters));
     }
 
     /** The octets of a parameter, or null. */
-    public byte[] value(int code) {
+    public byte[] parameterValue(int code) {
         for (Parameter p : parameters) {
             if (p.code() == code) {
                 return p.value();
@@ -169,7 +182,7 @@
                 out.write(p.code());
                 write(out, p.value());
             });
-            out.write(END);
+            out.write(END_OF_OPTIONAL_PARAMETERS);
         }
         return out.toByteArray();
     }
@@ -183,7 +196,7 @@
     }
 
     private byte[] mandatory(int code) {
-        byte[] value = value(code);
+        byte[] value = parameterValue(code);
         if (value == null) {
             throw new IllegalArgumentException(type + " needs parameter " + code);
         }
@@ -207,16 +220,16 @@
     /**
      * Reads a message.
      *
-     * @throws SignallingException with the cause that a CFN or a REL would carry
+     * @throws SignallingProtocolException with the cause that a CFN or a REL would carry
      */
-    public static Isup decode(byte[] in) throws SignallingException {
+    public static IsupMessage decode(byte[] in) throws SignallingProtocolException {
         if (in.length < HEADER) {
-            throw new SignallingException(PROTOCOL_ERROR, "an ISUP message of " + in.length + " octets");
+            throw new SignallingProtocolException(PROTOCOL_ERROR, "an ISUP message of " + in.length + " octets");
         }
         int circuit = (in[0] & 0xff) | (in[1] & 0x0f) << 8;
         Type type = Type.BY_CODE[in[2] & 0xff];
         if (type == null) {
-            throw new SignallingException(UNKNOWN_MESSAGE, "ISUP message type " + (in[2] & 0xff));
+            throw new SignallingProtocolException(MESSAGE_TYPE_UNKNOWN, "ISUP message type " + (in[2] & 0xff));
         }
         List<Parameter> parameters = new ArrayList<>(6);
         int at = HEADER;
@@ -228,7 +241,7 @@
         for (int code : type.variable) {
             int start = at + octet(in, at);
             if (start == at) {
-                throw new SignallingException(PROTOCOL_ERROR, "no pointer to parameter " + code);
+                throw new SignallingProtocolException(PROTOCOL_ERROR, "no pointer to parameter " + code);
             }
             parameters.add(new Parameter(code, slice(in, start + 1, octet(in, start))));
             reach += 1 + octet(in, start);
@@ -236,36 +249,36 @@
         }
         if (reach > MOST_POINTER) {
             // Laid over other parts it fits the frame, but no pointer reaches past it: it can't be sent on.
-            throw new SignallingException(PROTOCOL_ERROR, "mandatory parts of " + reach + " octets");
+            throw new SignallingProtocolException(PROTOCOL_ERROR, "mandatory parts of " + reach + " octets");
         }
         if (type.optional && at < in.length && octet(in, at) != 0) {
             optional(in, at + octet(in, at), parameters);
         }
-        return new Isup(circuit, type, parameters);
+        return new IsupMessage(circuit, type, parameters);
     }
 
-    private static void optional(byte[] in, int from, List<Parameter> into) throws SignallingException {
+    private static void optional(byte[] in, int from, List<Parameter> into) throws SignallingProtocolException {
         int at = from;
-        for (int code = octet(in, at); code != END; code = octet(in, at)) {
+        for (int code = octet(in, at); code != END_OF_OPTIONAL_PARAMETERS; code = octet(in, at)) {
             int length = octet(in, at + 1);
             into.add(new Parameter(code, slice(in, at + 2, length)));
             at += 2 + length;
             if (into.size() > MOST_PARAMETERS) {
-                throw new SignallingException(PROTOCOL_ERROR, "over " + MOST_PARAMETERS + " parameters");
+                throw new SignallingProtocolException(PROTOCOL_ERROR, "over " + MOST_PARAMETERS + " parameters");
             }
         }
     }
 
-    private static int octet(byte[] in, int at) throws SignallingException {
+    private static int octet(byte[] in, int at) throws SignallingProtocolException {
         if (at >= in.length) {
-            throw new SignallingException(PROTOCOL_ERROR, "cut off at octet " + at);
+            throw new SignallingProtocolException(PROTOCOL_ERROR, "cut off at octet " + at);
         }
         return in[at] & 0xff;
     }
 
-    private static byte[] slice(byte[] in, int from, int length) throws SignallingException {
+    private static byte[] slice(byte[] in, int from, int length) throws SignallingProtocolException {
         if (from + length > in.length) {
-            throw new SignallingException(
+            throw new SignallingProtocolException(
                     PROTOCOL_ERROR, "a parameter of " + length + " octets at octet " + from + " of " + in.length);
         }
         return java.util.Arrays.copyOfRange(in, from, from + length);
--- a/src/main/java/damsonseam/ss7/LoadReport.java
+++ b/src/main/java/damsonseam/ss7/LoadReportParameter.java
@@ -6,21 +6,21 @@
 
 /**
  * A calculator's figures of itself as they ride in ANM, CON and REL: an optional parameter of national use
- * ({@link Isup#LOAD_REPORT}) of 9 octets. Octet 1: version, 1. Octet 2: {@code util}, the busy share of its
+ * ({@link IsupMessage#LOAD_REPORT}) of 9 octets. Octet 1: version, 1. Octet 2: {@code util}, the busy share of its
  * processor in half hundredths. Octets 3-4: {@code queue}, set-ups waiting there. Octets 5-6: free lines.
  * Octets 7-8: lines. Octet 9: spare. All ones mean not given; later versions may be longer.
  */
-public final class LoadReport {
+public final class LoadReportParameter {
     private static final int VERSION = 1;
     private static final int LENGTH = 9;
     private static final int NO_OCTET = 0xff;
     private static final int NO_SHORT = 0xffff;
     private static final double UTIL_STEPS = 200.0;
 
-    private LoadReport() {}
+    private LoadReportParameter() {}
 
     /** The parameter for these figures. */
-    public static Isup.Parameter encode(Report report) {
+    public static IsupMessage.Parameter encode(Report report) {
         ByteBuffer out = ByteBuffer.allocate(LENGTH).put((byte) VERSION);
         out.put((byte)
                 (report.busy().isEmpty()
@@ -29,7 +29,8 @@
         put(out, report.waiting());
         put(out, report.freeLines());
         put(out, report.lines());
-        return new Isup.Parameter(Isup.LOAD_REPORT, out.put((byte) 0).array());
+        return new IsupMessage.Parameter(
+                IsupMessage.LOAD_REPORT, out.put((byte) 0).array());
     }
 
     private static void put(ByteBuffer out, OptionalDouble value) {
@@ -40,8 +41,8 @@
     }
 
     /** The figures in a message; one that has none, or none that can be read, says nothing. */
-    public static Report decode(Isup message) {
-        byte[] value = message.value(Isup.LOAD_REPORT);
+    public static Report decode(IsupMessage message) {
+        byte[] value = message.parameterValue(IsupMessage.LOAD_REPORT);
         if (value == null || value.length < LENGTH || value[0] < VERSION) {
             return Report.NONE;
         }
--- a/src/main/java/damsonseam/ss7/M3ua.java
+++ b/src/main/java/damsonseam/ss7/M3uaMessage.java
@@ -11,18 +11,18 @@
  * @param kind class and type
  * @param parameters the parameters, unknown ones included (RFC 4666 3.2 asks that they be passed over)
  */
-public record M3ua(Kind kind, List<Parameter> parameters) {
+public record M3uaMessage(Kind kind, List<Parameter> parameters) {
     /** Octets of the common header. */
-    public static final int HEADER = 8;
+    public static final int HEADER_BYTES = 8;
     /** Longest frame taken: far above any ISUP message and any list of point codes in use. */
-    public static final int MOST = 4096;
+    public static final int MAX_FRAME_BYTES = 4096;
 
     private static final int PARAMETER_HEADER = 4;
     private static final int MOST_PARAMETERS = 64;
     private static final int VERSION = 1;
 
     /** Parameter tags (RFC 4666 3.2). */
-    public static final int INFO = 0x0004;
+    public static final int INFO_STRING = 0x0004;
     /** The application server that the traffic is for. */
     public static final int ROUTING_CONTEXT = 0x0006;
     /** The start of the frame that an error is about. */
@@ -30,7 +30,7 @@
     /** What a BEAT ACK must repeat. */
     public static final int HEARTBEAT_DATA = 0x0009;
     /** Override, loadshare or broadcast. */
-    public static final int TRAFFIC_MODE = 0x000b;
+    public static final int TRAFFIC_MODE_TYPE = 0x000b;
     /** Why an ERR was sent. */
     public static final int ERROR_CODE = 0x000c;
     /** What a NTFY tells. */
@@ -47,15 +47,15 @@
     /** Error codes (RFC 4666 3.8.1). */
     public static final int INVALID_VERSION = 0x01;
     /** A class that the specification does not have. */
-    public static final int UNSUPPORTED_CLASS = 0x03;
+    public static final int UNSUPPORTED_MESSAGE_CLASS = 0x03;
     /** A type that its class does not have. */
-    public static final int UNSUPPORTED_TYPE = 0x04;
+    public static final int UNSUPPORTED_MESSAGE_TYPE = 0x04;
     /** A known message that may not come in this state. */
     public static final int UNEXPECTED_MESSAGE = 0x06;
     /** Anything else that is wrong. */
     public static final int PROTOCOL_ERROR = 0x07;
     /** A parameter's value can't be. */
-    public static final int INVALID_PARAMETER = 0x11;
+    public static final int INVALID_PARAMETER_VALUE = 0x11;
     /** A parameter's length can't be. */
     public static final int PARAMETER_FIELD_ERROR = 0x12;
     /** A parameter that must be there is not. */
@@ -110,7 +110,7 @@
             this.type = type;
         }
 
-        static Kind of(int messageClass, int type) throws SignallingException {
+        static Kind of(int messageClass, int type) throws SignallingProtocolException {
             boolean known = false;
             for (Kind kind : values()) {
                 known |= kind.messageClass == messageClass;
@@ -118,48 +118,49 @@
                     return kind;
                 }
             }
-            throw new SignallingException(
-                    known ? UNSUPPORTED_TYPE : UNSUPPORTED_CLASS, "message class " + messageClass + ", type " + type);
+            throw new SignallingProtocolException(
+                    known ? UNSUPPORTED_MESSAGE_TYPE : UNSUPPORTED_MESSAGE_CLASS,
+                    "message class " + messageClass + ", type " + type);
         }
     }
 
     /** One parameter: its tag and the octets of its value, without padding. */
     public record Parameter(int tag, byte[] value) {
-        static Parameter number(int tag, int value) {
+        static Parameter ofInt(int tag, int value) {
             return new Parameter(
                     tag, ByteBuffer.allocate(Integer.BYTES).putInt(value).array());
         }
     }
 
     /** A message with these parameters. */
-    public static M3ua of(Kind kind, Parameter... parameters) {
-        return new M3ua(kind, List.of(parameters));
+    public static M3uaMessage of(Kind kind, Parameter... parameters) {
+        return new M3uaMessage(kind, List.of(parameters));
     }
 
     /** An error about a frame, with up to 40 octets of it (RFC 4666 3.8.1). */
-    public static M3ua error(int code, byte[] about) {
+    public static M3uaMessage error(int code, byte[] about) {
         int length = Math.min(about.length, 40);
         return of(
                 Kind.ERR,
-                Parameter.number(ERROR_CODE, code),
+                Parameter.ofInt(ERROR_CODE, code),
                 new Parameter(DIAGNOSTIC, java.util.Arrays.copyOf(about, length)));
     }
 
     /** A message about one destination: DUNA, DAVA or SCON. */
-    public static M3ua destination(Kind kind, int pointCode, Parameter... more) {
+    public static M3uaMessage destinationState(Kind kind, int pointCode, Parameter... more) {
         List<Parameter> all = new ArrayList<>();
-        all.add(Parameter.number(AFFECTED_POINT_CODE, pointCode));
+        all.add(Parameter.ofInt(AFFECTED_POINT_CODE, pointCode));
         all.addAll(List.of(more));
-        return new M3ua(kind, all);
+        return new M3uaMessage(kind, all);
     }
 
     /** The congestion level of an SCON. */
-    public static Parameter congestion(int level) {
-        return Parameter.number(CONGESTION_INDICATIONS, level);
+    public static Parameter congestionIndications(int level) {
+        return Parameter.ofInt(CONGESTION_INDICATIONS, level);
     }
 
     /** The value of a parameter, or null. */
-    public byte[] value(int tag) {
+    public byte[] parameterValue(int tag) {
         for (Parameter p : parameters) {
             if (p.tag() == tag) {
                 return p.value();
@@ -169,13 +170,13 @@
     }
 
     /** The value of a 32-bit parameter, or -1 if it is not there. */
-    public int number(int tag) throws SignallingException {
-        byte[] value = value(tag);
+    public int intParameter(int tag) throws SignallingProtocolException {
+        byte[] value = parameterValue(tag);
         if (value == null) {
             return -1;
         }
         if (value.length < Integer.BYTES) {
-            throw new SignallingException(
+            throw new SignallingProtocolException(
                     PARAMETER_FIELD_ERROR,
                     "parameter " + tag + " of " + value.length + " octets, expected " + Integer.BYTES);
         }
@@ -184,7 +185,7 @@
 
     /** The whole frame. */
     public byte[] encode() {
-        int length = HEADER;
+        int length = HEADER_BYTES;
         for (Parameter p : parameters) {
             length += PARAMETER_HEADER + padded(p.value().length);
         }
@@ -202,23 +203,23 @@
     /**
      * Reads a whole frame.
      *
-     * @throws SignallingException with the error code that goes back to the sender
+     * @throws SignallingProtocolException with the error code that goes back to the sender
      */
-    public static M3ua decode(byte[] frame) throws SignallingException {
-        if (frame.length < HEADER) {
-            throw new SignallingException(PROTOCOL_ERROR, "a frame of " + frame.length + " octets");
+    public static M3uaMessage decode(byte[] frame) throws SignallingProtocolException {
+        if (frame.length < HEADER_BYTES) {
+            throw new SignallingProtocolException(PROTOCOL_ERROR, "a frame of " + frame.length + " octets");
         }
         ByteBuffer in = ByteBuffer.wrap(frame);
         int version = in.get();
         if (version != VERSION) {
-            throw new SignallingException(INVALID_VERSION, "version " + version + ", expected " + VERSION);
+            throw new SignallingProtocolException(INVALID_VERSION, "version " + version + ", expected " + VERSION);
         }
         in.get();
         int messageClass = in.get() & 0xff;
         int type = in.get() & 0xff;
         int length = in.getInt();
         if (length != frame.length) {
-            throw new SignallingException(
+            throw new SignallingProtocolException(
                     PROTOCOL_ERROR,
                     "length " + Integer.toUnsignedString(length) + " in a frame of " + frame.length + " octets");
         }
@@ -227,20 +228,20 @@
         while (in.hasRemaining()) {
             parameters.add(parameter(in));
             if (parameters.size() > MOST_PARAMETERS) {
-                throw new SignallingException(PROTOCOL_ERROR, "over " + MOST_PARAMETERS + " parameters");
+                throw new SignallingProtocolException(PROTOCOL_ERROR, "over " + MOST_PARAMETERS + " parameters");
             }
         }
-        return new M3ua(kind, parameters);
+        return new M3uaMessage(kind, parameters);
     }
 
-    private static Parameter parameter(ByteBuffer in) throws SignallingException {
+    private static Parameter parameter(ByteBuffer in) throws SignallingProtocolException {
         if (in.remaining() < PARAMETER_HEADER) {
-            throw new SignallingException(PARAMETER_FIELD_ERROR, "a parameter cut off in its header");
+            throw new SignallingProtocolException(PARAMETER_FIELD_ERROR, "a parameter cut off in its header");
         }
         int tag = in.getShort() & 0xffff;
         int length = (in.getShort() & 0xffff) - PARAMETER_HEADER;
         if (length < 0 || length > in.remaining()) {
-            throw new SignallingException(
+            throw new SignallingProtocolException(
                     PARAMETER_FIELD_ERROR,
                     "parameter " + tag + " says " + length + " octets where " + in.remaining() + " are left");
         }
--- a/src/main/java/damsonseam/ss7/ProtocolData.java
+++ b/src/main/java/damsonseam/ss7/ProtocolData.java
@@ -16,7 +16,7 @@
     private static final int NATIONAL = 2;
 
     /** The DATA message that carries this. */
-    public M3ua message() {
+    public M3uaMessage toMessage() {
         ByteBuffer out = ByteBuffer.allocate(LABEL + isup.length);
         out.putInt(opc)
                 .putInt(dpc)
@@ -24,18 +24,18 @@
                 .put((byte) NATIONAL)
                 .put((byte) 0);
         out.put((byte) sls).put(isup);
-        return M3ua.of(M3ua.Kind.DATA, new M3ua.Parameter(M3ua.PROTOCOL_DATA, out.array()));
+        return M3uaMessage.of(M3uaMessage.Kind.DATA, new M3uaMessage.Parameter(M3uaMessage.PROTOCOL_DATA, out.array()));
     }
 
     /** Reads the protocol data of a DATA message. */
-    public static ProtocolData of(M3ua message) throws SignallingException {
-        byte[] value = message.value(M3ua.PROTOCOL_DATA);
+    public static ProtocolData from(M3uaMessage message) throws SignallingProtocolException {
+        byte[] value = message.parameterValue(M3uaMessage.PROTOCOL_DATA);
         if (value == null) {
-            throw new SignallingException(M3ua.MISSING_PARAMETER, "a DATA without protocol data");
+            throw new SignallingProtocolException(M3uaMessage.MISSING_PARAMETER, "a DATA without protocol data");
         }
         if (value.length < LABEL) {
-            throw new SignallingException(
-                    M3ua.PARAMETER_FIELD_ERROR,
+            throw new SignallingProtocolException(
+                    M3uaMessage.PARAMETER_FIELD_ERROR,
                     "protocol data of " + value.length + " octets, at least " + LABEL + " are needed");
         }
         ByteBuffer in = ByteBuffer.wrap(value);
@@ -43,8 +43,8 @@
         int dpc = in.getInt();
         int service = in.get();
         if (service != SERVICE_ISUP) {
-            throw new SignallingException(
-                    M3ua.INVALID_PARAMETER, "service indicator " + service + ", expected " + SERVICE_ISUP);
+            throw new SignallingProtocolException(
+                    M3uaMessage.INVALID_PARAMETER_VALUE, "service indicator " + service + ", expected " + SERVICE_ISUP);
         }
         in.get();
         in.get();
--- a/src/main/java/damsonseam/ss7/SignallingException.java
+++ b/src/main/java/damsonseam/ss7/SignallingProtocolException.java
@@ -1,7 +1,7 @@
 package damsonseam.ss7;
 
 /** A frame that can't be read, or that may not come now; its code goes back to the sender where one is due. */
-public final class SignallingException extends Exception {
+public final class SignallingProtocolException extends Exception {
     private static final long serialVersionUID = 1L;
     private final int code;
 
@@ -10,7 +10,7 @@
      *
      * @param code the M3UA error code (RFC 4666 3.8.1) or, from the ISUP codec, the cause (Q.850)
      */
-    public SignallingException(int code, String message) {
+    public SignallingProtocolException(int code, String message) {
         super(message);
         this.code = code;
     }
--- a/src/main/java/damsonseam/ss7/TrunkGroup.java
+++ b/src/main/java/damsonseam/ss7/TrunkGroup.java
@@ -14,7 +14,7 @@
  * until its RLC, whatever became of the call; after a lost connection the circuits that were not idle are reset
  * before they are used again. Answers that come after our REL change nothing. Time is passed in.
  *
- * <p>Each attempt that {@link #setUp} sent ends in one {@link Output#ended}, or is released by its owner; one
+ * <p>Each attempt that {@link #setUp} sent ends in one {@link Output#onOutcome}, or is released by its owner; one
  * that was answered stands until {@code ended} or release.
  */
 public final class TrunkGroup {
@@ -24,13 +24,13 @@
     /** What a group sends and tells. */
     public interface Output {
         /** Sends an ISUP message to the far end. */
-        void send(Isup message);
+        void send(IsupMessage message);
 
         /** The attempt was answered. */
-        void stands(double now, long call, int attempt, Report report);
+        void onAnswered(double now, long call, int attempt, Report report);
 
         /** The attempt, or the standing call, was ended by the far end or with the connection. */
-        void ended(
+        void onOutcome(
                 double now,
                 long call,
                 int attempt,
@@ -40,19 +40,19 @@
                 Report report);
 
         /** The far end has the release of an attempt: it completed it, released too, or is gone. */
-        void released(double now, long call, int attempt);
+        void onReleaseComplete(double now, long call, int attempt);
     }
 
     /**
      * Timers of the group, in milliseconds (Q.764 annex A).
      *
-     * @param t1 a REL not completed is sent again
-     * @param t5 a circuit still not released is reset
-     * @param t17 a reset not completed is sent again
+     * @param t1Ms a REL not completed is sent again
+     * @param t5Ms a circuit still not released is reset
+     * @param t17Ms a reset not completed is sent again
      */
-    public record Times(double t1, double t5, double t17) {
+    public record TimerValues(double t1Ms, double t5Ms, double t17Ms) {
         /** The recommendation's values: 15 s, 5 minutes, 5 minutes. */
-        public static final Times Q764 = new Times(15_000, 300_000, 300_000);
+        public static final TimerValues Q764 = new TimerValues(15_000, 300_000, 300_000);
     }
 
     private enum State {
@@ -81,28 +81,28 @@
 
     private final Circuits circuits;
     private final Timers timers;
-    private final Times times;
+    private final TimerValues times;
     private final Output out;
     private final int pointCode;
-    private final Busy[] busy;
+    private final Busy[] busyCircuits;
     private final Long2ObjectHashMap<Busy> byCall = new Long2ObjectHashMap<>();
     /** Circuits that must be reset once there is a connection, and how many resets are in flight. */
     private final BitSet toReset = new BitSet();
 
     private int resetsOut;
     private boolean connected;
-    private long confused;
+    private long unexpectedMessages;
     private long lateAnswers;
     private long dualSeizures;
 
     /** A group with all circuits idle; {@code pointCode} is this end's. */
-    public TrunkGroup(Circuits circuits, Timers timers, Times times, int pointCode, Output out) {
+    public TrunkGroup(Circuits circuits, Timers timers, TimerValues times, int pointCode, Output out) {
         this.circuits = circuits;
         this.timers = timers;
         this.times = times;
         this.pointCode = pointCode;
         this.out = out;
-        busy = new Busy[circuits.size() + 1];
+        busyCircuits = new Busy[circuits.size() + 1];
     }
 
     // ---- What the core asks for -------------------------------------------------------------------------
@@ -114,9 +114,9 @@
             return false;
         }
         Busy b = new Busy(circuit, call, attempt);
-        busy[circuit] = b;
+        busyCircuits[circuit] = b;
         byCall.put(call, b);
-        out.send(IsupMessages.setUp(circuit, number, category, call, pointCode));
+        out.send(IsupMessages.initialAddress(circuit, number, category, call, pointCode));
         return true;
     }
 
@@ -144,18 +144,18 @@
     /** A release or a reset is repeated until it is complete; a release that never is becomes a reset. */
     private void await(Busy b, double now) {
         timers.cancel(b.timer);
-        double after = b.state == State.RELEASING ? times.t1() : times.t17();
+        double after = b.state == State.RELEASING ? times.t1Ms() : times.t17Ms();
         b.timer = timers.set(now + after, at -> {
             b.timer = null;
-            if (!connected || busy[b.circuit] != b) {
+            if (!connected || busyCircuits[b.circuit] != b) {
                 return;
             }
-            if (b.state == State.RELEASING && at - b.since < times.t5()) {
+            if (b.state == State.RELEASING && at - b.since < times.t5Ms()) {
                 out.send(IsupMessages.release(b.circuit, b.cause));
             } else {
                 resetsOut += b.state == State.RESETTING ? 0 : 1;
                 b.state = State.RESETTING;
-                out.send(Isup.of(b.circuit, Isup.Type.RSC));
+                out.send(IsupMessage.of(b.circuit, IsupMessage.Type.RSC));
             }
             await(b, at);
         });
@@ -164,7 +164,7 @@
     // ---- The connection ---------------------------------------------------------------------------------
 
     /** Traffic may flow; circuits left over from before are reset first, a few at a time. */
-    public void connectionUp(double now) {
+    public void onConnectionUp(double now) {
         connected = true;
         resetNext(now);
     }
@@ -172,23 +172,23 @@
     private void resetNext(double now) {
         for (int c = toReset.nextSetBit(0); c >= 0 && resetsOut < RESET_WINDOW; c = toReset.nextSetBit(c)) {
             toReset.clear(c);
-            Busy b = busy[c];
+            Busy b = busyCircuits[c];
             if (b != null) {
                 b.state = State.RESETTING;
                 resetsOut++;
                 circuits.reset(c);
-                out.send(Isup.of(c, Isup.Type.RSC));
+                out.send(IsupMessage.of(c, IsupMessage.Type.RSC));
                 await(b, now);
             }
         }
     }
 
     /** The connection is gone: every attempt out and every standing call on it is cut, each told once. */
-    public void connectionLost(double now) {
+    public void onConnectionLost(double now) {
         connected = false;
         resetsOut = 0;
-        for (int c = 1; c < busy.length; c++) {
-            Busy b = busy[c];
+        for (int c = 1; c < busyCircuits.length; c++) {
+            Busy b = busyCircuits[c];
             if (b == null) {
                 continue;
             }
@@ -197,11 +197,11 @@
             toReset.set(c);
             boolean told = b.state == State.SETTING_UP || b.state == State.ANSWERED;
             if (b.state == State.RELEASING) {
-                out.released(now, b.call, b.attempt);
+                out.onReleaseComplete(now, b.call, b.attempt);
             }
             b.state = State.RELEASING;
             if (told && byCall.remove(b.call) != null) {
-                out.ended(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
+                out.onOutcome(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
             }
         }
     }
@@ -209,13 +209,13 @@
     // ---- What the far end sends -------------------------------------------------------------------------
 
     /** A message came; the unreasonable ones are handled as Q.764 2.9.5 has it. */
-    public void received(double now, Isup message) {
+    public void onMessage(double now, IsupMessage message) {
         int c = message.circuit();
         if (!circuits.has(c)) {
-            confused++;
+            unexpectedMessages++;
             return;
         }
-        Busy b = busy[c];
+        Busy b = busyCircuits[c];
         switch (message.type()) {
             case ACM, CPG -> unexpected(b, c, now);
             case ANM, CON -> answer(b, message, now);
@@ -223,25 +223,25 @@
             case RLC -> complete(b, c, now);
             case RSC -> {
                 farReset(b, c, now);
-                out.send(Isup.of(c, Isup.Type.RLC));
+                out.send(IsupMessage.of(c, IsupMessage.Type.RLC));
             }
             case GRS -> groupReset(message, now);
             case BLO -> {
                 circuits.block(c, true);
-                out.send(Isup.of(c, Isup.Type.BLA));
+                out.send(IsupMessage.of(c, IsupMessage.Type.BLA));
             }
             case UBL -> {
                 circuits.block(c, false);
-                out.send(Isup.of(c, Isup.Type.UBA));
+                out.send(IsupMessage.of(c, IsupMessage.Type.UBA));
             }
             case IAM -> incoming(b, c, now);
-            default -> confused++;
+            default -> unexpectedMessages++;
         }
     }
 
     /** A message that could not be read: confusion is told where the circuit is known (Q.764 2.9.5.3). */
-    public void unreadable(int circuit, int cause) {
-        confused++;
+    public void onMalformedMessage(int circuit, int cause) {
+        unexpectedMessages++;
         if (connected && circuits.has(circuit)) {
             out.send(IsupMessages.confusion(circuit, cause));
         }
@@ -250,71 +250,75 @@
     /** Progress on an idle circuit: the far end holds it, so it is reset (Q.764 2.9.5.1 f). */
     private void unexpected(Busy b, int c, double now) {
         if (b == null) {
-            confused++;
+            unexpectedMessages++;
             resetIdle(c, now);
         }
     }
 
     private void resetIdle(int c, double now) {
         circuits.takeIncoming(c);
-        busy[c] = new Busy(c, -1, -1);
-        busy[c].state = State.RELEASING;
+        busyCircuits[c] = new Busy(c, -1, -1);
+        busyCircuits[c].state = State.RELEASING;
         toReset.set(c);
         resetNext(now);
     }
 
-    private void answer(Busy b, Isup message, double now) {
+    private void answer(Busy b, IsupMessage message, double now) {
         if (b == null) {
             unexpected(null, message.circuit(), now);
         } else if (b.state == State.SETTING_UP) {
             b.state = State.ANSWERED;
-            out.stands(now, b.call, b.attempt, LoadReport.decode(message));
+            out.onAnswered(now, b.call, b.attempt, LoadReportParameter.decode(message));
         } else {
             lateAnswers++;
         }
     }
 
-    private void released(Busy b, Isup message, double now) {
+    private void released(Busy b, IsupMessage message, double now) {
         int c = message.circuit();
-        out.send(Isup.of(c, Isup.Type.RLC));
+        out.send(IsupMessage.of(c, IsupMessage.Type.RLC));
         if (b == null || b.state == State.RESETTING) {
             return;
         }
         if (b.state == State.RELEASING) {
             // Releases that cross: ours is complete as well (Q.764 2.3.1 e).
             idle(b, now);
-            out.released(now, b.call, b.attempt);
+            out.onReleaseComplete(now, b.call, b.attempt);
             return;
         }
         boolean answered = b.state == State.ANSWERED;
         byCall.remove(b.call);
         idle(b, now);
         int cause = cause(message);
-        out.ended(
+        out.onOutcome(
                 now,
                 b.call,
                 b.attempt,
                 result(cause, answered),
                 reason(cause, answered),
                 OptionalDouble.empty(),
-                LoadReport.decode(message));
+                LoadReportParameter.decode(message));
     }
 
     /**
      * The cause, as the automatic congestion level qualifies it (Q.764 2.11): a far end that releases with a level
      * is pressed, whatever cause it gives, unless it says that a line or the number is what is short.
      */
-    private static int cause(Isup message) {
+    private static int cause(IsupMessage message) {
         int cause = IsupMessages.cause(message);
-        boolean said = cause == Isup.NO_CIRCUIT || cause == Isup.USER_BUSY || cause == Isup.NORMAL_CLEARING;
-        return IsupMessages.congestionLevel(message) > 0 && !said ? Isup.SWITCH_CONGESTION : cause;
+        boolean said = cause == IsupMessage.NO_CIRCUIT_AVAILABLE
+                || cause == IsupMessage.USER_BUSY
+                || cause == IsupMessage.NORMAL_CLEARING;
+        return IsupMessages.congestionLevel(message) > 0 && !said ? IsupMessage.SWITCHING_EQUIPMENT_CONGESTION : cause;
     }
 
     private static Result result(int cause, boolean answered) {
         if (answered) {
-            return cause == Isup.NORMAL_CLEARING ? Result.COMPLETED : Result.RESET;
+            return cause == IsupMessage.NORMAL_CLEARING ? Result.COMPLETED : Result.RESET;
         }
-        return cause == Isup.NO_CIRCUIT || cause == Isup.SWITCH_CONGESTION ? Result.FULL : Result.ERROR;
+        return cause == IsupMessage.NO_CIRCUIT_AVAILABLE || cause == IsupMessage.SWITCHING_EQUIPMENT_CONGESTION
+                ? Result.FULL
+                : Result.ERROR;
     }
 
     private static Reason reason(int cause, boolean answered) {
@@ -322,9 +326,9 @@
             return Reason.NONE;
         }
         return switch (cause) {
-            case Isup.NO_CIRCUIT -> Reason.NO_LINE;
-            case Isup.SWITCH_CONGESTION -> Reason.PROCESSOR_FULL;
-            case Isup.USER_BUSY -> Reason.NUMBER_BUSY;
+            case IsupMessage.NO_CIRCUIT_AVAILABLE -> Reason.NO_LINE;
+            case IsupMessage.SWITCHING_EQUIPMENT_CONGESTION -> Reason.PROCESSOR_FULL;
+            case IsupMessage.USER_BUSY -> Reason.NUMBER_BUSY;
             default -> Reason.NONE;
         };
     }
@@ -335,7 +339,7 @@
         }
         if (b.state == State.RELEASING || b.state == State.RESETTING) {
             idle(b, now);
-            out.released(now, b.call, b.attempt);
+            out.onReleaseComplete(now, b.call, b.attempt);
             return;
         }
         // The far end has released a call of ours that we have not: its end is told, then it is reset.
@@ -343,12 +347,12 @@
         b.state = State.RELEASING;
         toReset.set(c);
         resetNext(now);
-        out.ended(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
+        out.onOutcome(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
     }
 
     private void idle(Busy b, double now) {
         timers.cancel(b.timer);
-        busy[b.circuit] = null;
+        busyCircuits[b.circuit] = null;
         toReset.clear(b.circuit);
         if (b.state == State.RESETTING) {
             resetsOut = Math.max(0, resetsOut - 1);
@@ -366,26 +370,29 @@
         }
         boolean told = (b.state == State.SETTING_UP || b.state == State.ANSWERED) && byCall.remove(b.call) != null;
         idle(b, now);
-        out.released(now, b.call, b.attempt);
+        out.onReleaseComplete(now, b.call, b.attempt);
         if (told) {
-            out.ended(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
+            out.onOutcome(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
         }
     }
 
     /** Range: the circuits after the first that are reset with it (Q.763 3.43). */
-    private void groupReset(Isup message, double now) {
-        byte[] value = message.value(Isup.RANGE_AND_STATUS);
+    private void groupReset(IsupMessage message, double now) {
+        byte[] value = message.parameterValue(IsupMessage.RANGE_AND_STATUS);
         if (value == null || value.length < 1) {
-            confused++;
+            unexpectedMessages++;
             return;
         }
         int range = Math.min(value[0] & 0xff, RESET_WINDOW - 1);
         for (int c = message.circuit(); c <= message.circuit() + range && circuits.has(c); c++) {
-            farReset(busy[c], c, now);
+            farReset(busyCircuits[c], c, now);
         }
         byte[] status = new byte[1 + (range + 8) / 8];
         status[0] = (byte) range;
-        out.send(Isup.of(message.circuit(), Isup.Type.GRA, new Isup.Parameter(Isup.RANGE_AND_STATUS, status)));
+        out.send(IsupMessage.of(
+                message.circuit(),
+                IsupMessage.Type.GRA,
+                new IsupMessage.Parameter(IsupMessage.RANGE_AND_STATUS, status)));
     }
 
     /** The far end seizes a circuit: this group sets up one way only, and its own call goes first if it may. */
@@ -397,35 +404,35 @@
             }
             // The other end controls this circuit: our attempt never ran, theirs is turned away.
             byCall.remove(b.call);
-            startRelease(b, Isup.NO_CIRCUIT, now);
-            out.ended(now, b.call, b.attempt, Result.FULL, Reason.NO_LINE, OptionalDouble.empty(), Report.NONE);
+            startRelease(b, IsupMessage.NO_CIRCUIT_AVAILABLE, now);
+            out.onOutcome(now, b.call, b.attempt, Result.FULL, Reason.NO_LINE, OptionalDouble.empty(), Report.NONE);
             return;
         }
         if (b == null) {
             circuits.takeIncoming(c);
             Busy refused = new Busy(c, -1, -1);
-            busy[c] = refused;
-            startRelease(refused, Isup.NO_CIRCUIT, now);
+            busyCircuits[c] = refused;
+            startRelease(refused, IsupMessage.NO_CIRCUIT_AVAILABLE, now);
         }
     }
 
     /** Circuits on which a set-up could go out now. */
-    public int free() {
+    public int freeCircuits() {
         return circuits.free();
     }
 
     /** Circuits that are not idle, whatever for. */
-    public int busy() {
+    public int busyCircuits() {
         int count = 0;
-        for (Busy b : busy) {
+        for (Busy b : busyCircuits) {
             count += b == null ? 0 : 1;
         }
         return count;
     }
 
     /** Messages that made no sense where they came. */
-    public long confused() {
-        return confused;
+    public long unexpectedMessages() {
+        return unexpectedMessages;
     }
 
     /** Answers that came after our release. */
--- a/src/main/java/damsonseam/standin/Calculator.java
+++ b/src/main/java/damsonseam/standin/Calculator.java
@@ -2,14 +2,14 @@
 
 import damsonseam.Front.Report;
 import damsonseam.audit.WireLog;
-import damsonseam.ss7.Digits;
-import damsonseam.ss7.Isup;
+import damsonseam.ss7.CalledPartyNumber;
+import damsonseam.ss7.IsupMessage;
 import damsonseam.ss7.IsupMessages;
-import damsonseam.ss7.LoadReport;
-import damsonseam.ss7.M3ua;
-import damsonseam.ss7.M3ua.Kind;
+import damsonseam.ss7.LoadReportParameter;
+import damsonseam.ss7.M3uaMessage;
+import damsonseam.ss7.M3uaMessage.Kind;
 import damsonseam.ss7.ProtocolData;
-import damsonseam.ss7.SignallingException;
+import damsonseam.ss7.SignallingProtocolException;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -139,7 +139,8 @@
                     protected void initChannel(SocketChannel channel) {
                         channel.pipeline()
                                 .addLast(
-                                        new LengthFieldBasedFrameDecoder(M3ua.MOST, 4, 4, -M3ua.HEADER, 0),
+                                        new LengthFieldBasedFrameDecoder(
+                                                M3uaMessage.MAX_FRAME_BYTES, 4, 4, -M3uaMessage.HEADER_BYTES, 0),
                                         new Connection());
                     }
                 })
@@ -210,9 +211,9 @@
 
     /** Tells its connections that it can't be reached, or can again, or is congested (SSNM). */
     public void tell(Kind kind, int level) {
-        M3ua message = kind == Kind.SCON
-                ? M3ua.destination(kind, pointCode, M3ua.congestion(level))
-                : M3ua.destination(kind, pointCode);
+        M3uaMessage message = kind == Kind.SCON
+                ? M3uaMessage.destinationState(kind, pointCode, M3uaMessage.congestionIndications(level))
+                : M3uaMessage.destinationState(kind, pointCode);
         loop.execute(() -> connections.forEach(c -> c.send(message)));
     }
 
@@ -273,7 +274,7 @@
         return arrivals.size() > settings.tipMultiple() * capacity + 4 * Math.sqrt(settings.tipMultiple() * capacity);
     }
 
-    private Isup.Parameter reportNow(double now) {
+    private IsupMessage.Parameter reportNow(double now) {
         if (now - reportAt >= settings.reportEvery().ms()) {
             reportAt = now;
             report = new Report(
@@ -283,7 +284,7 @@
                     OptionalDouble.of(processor.busy(now)),
                     OptionalDouble.of(processor.waiting()));
         }
-        return LoadReport.encode(report);
+        return LoadReportParameter.encode(report);
     }
 
     // ---- Calls ------------------------------------------------------------------------------------------
@@ -349,7 +350,7 @@
             channel.close();
         }
 
-        void send(M3ua message) {
+        void send(M3uaMessage message) {
             byte[] octets = message.encode();
             if (wire != null) {
                 wire.write(id, far, WireLog.M3UA, octets);
@@ -357,12 +358,12 @@
             channel.writeAndFlush(Unpooled.wrappedBuffer(octets));
         }
 
-        private void send(Isup message) {
-            send(new ProtocolData(pointCode, farPointCode, message.circuit() & 0x0f, message.encode()).message());
+        private void send(IsupMessage message) {
+            send(new ProtocolData(pointCode, farPointCode, message.circuit() & 0x0f, message.encode()).toMessage());
         }
 
         /** An answer, which may be lost on the way. */
-        private void answer(Isup message) {
+        private void answer(IsupMessage message) {
             if (random.nextDouble() >= lossShare) {
                 send(message);
             }
@@ -382,64 +383,68 @@
                 return;
             }
             try {
-                M3ua message = M3ua.decode(octets);
+                M3uaMessage message = M3uaMessage.decode(octets);
                 if (message.kind() == Kind.ASPUP) {
-                    farPointCode = message.number(M3ua.ASP_IDENTIFIER);
+                    farPointCode = message.intParameter(M3uaMessage.ASP_IDENTIFIER);
                     far = "front-" + farPointCode;
                 }
                 if (wire != null) {
                     wire.write(far, id, WireLog.M3UA, octets);
                 }
                 received(message);
-            } catch (SignallingException e) {
-                send(M3ua.error(e.code(), octets));
+            } catch (SignallingProtocolException e) {
+                send(M3uaMessage.error(e.code(), octets));
             }
         }
 
-        private void received(M3ua message) throws SignallingException {
+        private void received(M3uaMessage message) throws SignallingProtocolException {
             switch (message.kind()) {
                 case ASPUP -> {
                     up = true;
-                    send(M3ua.of(Kind.ASPUP_ACK));
+                    send(M3uaMessage.of(Kind.ASPUP_ACK));
                 }
                 case ASPDN -> {
                     up = false;
                     active = false;
-                    send(M3ua.of(Kind.ASPDN_ACK));
+                    send(M3uaMessage.of(Kind.ASPDN_ACK));
                 }
                 case ASPAC -> {
                     if (!up) {
-                        throw new SignallingException(M3ua.UNEXPECTED_MESSAGE, "ASPAC while down");
+                        throw new SignallingProtocolException(M3uaMessage.UNEXPECTED_MESSAGE, "ASPAC while down");
                     }
                     active = true;
-                    send(M3ua.of(Kind.ASPAC_ACK));
+                    send(M3uaMessage.of(Kind.ASPAC_ACK));
                 }
                 case ASPIA -> {
                     active = false;
-                    send(M3ua.of(Kind.ASPIA_ACK));
+                    send(M3uaMessage.of(Kind.ASPIA_ACK));
                 }
                 case BEAT ->
                     processor.add(
                             now(),
                             settings.probeWork().ms(),
                             false,
-                            () -> send(new M3ua(Kind.BEAT_ACK, message.parameters())));
+                            () -> send(new M3uaMessage(Kind.BEAT_ACK, message.parameters())));
                 case DATA -> {
                     if (!active) {
-                        throw new SignallingException(M3ua.UNEXPECTED_MESSAGE, "DATA while not active");
+                        throw new SignallingProtocolException(M3uaMessage.UNEXPECTED_MESSAGE, "DATA while not active");
                     }
-                    isup(Isup.decode(ProtocolData.of(message).isup()));
+                    isup(IsupMessage.decode(ProtocolData.from(message).isup()));
                 }
                 default -> {}
             }
             wake();
         }
 
-        private void isup(Isup message) throws SignallingException {
+        private void isup(IsupMessage message) throws SignallingProtocolException {
             int circuit = message.circuit();
             Held call = calls.get(circuit);
             switch (message.type()) {
-                case IAM -> setUp(circuit, call, Digits.decode(message.value(Isup.CALLED_NUMBER)));
+                case IAM ->
+                    setUp(
+                            circuit,
+                            call,
+                            CalledPartyNumber.decode(message.parameterValue(IsupMessage.CALLED_PARTY_NUMBER)));
                 case REL -> {
                     if (call != null) {
                         calls.remove(circuit);
@@ -451,7 +456,7 @@
                             held--;
                         }
                     }
-                    send(Isup.of(circuit, Isup.Type.RLC));
+                    send(IsupMessage.of(circuit, IsupMessage.Type.RLC));
                 }
                 case RLC -> calls.remove(circuit);
                 case RSC -> {
@@ -459,7 +464,7 @@
                         calls.remove(circuit);
                         drop(call);
                     }
-                    send(Isup.of(circuit, Isup.Type.RLC));
+                    send(IsupMessage.of(circuit, IsupMessage.Type.RLC));
                 }
                 default -> {}
             }
@@ -476,12 +481,12 @@
                 return;
             }
             if (held >= settings.lines()) {
-                turnAway(circuit, Isup.NO_CIRCUIT, number);
+                turnAway(circuit, IsupMessage.NO_CIRCUIT_AVAILABLE, number);
                 return;
             }
             double work = settings.callWork() * settings.setUpShare();
             if (turnAll || processor.wait(now) > settings.turnAwayAfter().ms()) {
-                turnAway(circuit, Isup.SWITCH_CONGESTION, number);
+                turnAway(circuit, IsupMessage.SWITCHING_EQUIPMENT_CONGESTION, number);
                 return;
             }
             Held call = new Held(number);
@@ -501,20 +506,23 @@
                     work,
                     false,
                     () -> answer(
-                            cause == Isup.SWITCH_CONGESTION
+                            cause == IsupMessage.SWITCHING_EQUIPMENT_CONGESTION
                                     ? IsupMessages.release(
-                                            circuit, cause, IsupMessages.congestion(PRESSED), reportNow(now()))
+                                            circuit,
+                                            cause,
+                                            IsupMessages.automaticCongestionLevel(PRESSED),
+                                            reportNow(now()))
                                     : IsupMessages.release(circuit, cause, reportNow(now()))));
         }
 
         /** The set-up is done; the answer waits in line as well. */
         private void complete(int circuit, Held call) {
             double rest = settings.callWork() * (1 - settings.setUpShare());
-            send(IsupMessages.complete(circuit));
+            send(IsupMessages.addressComplete(circuit));
             call.job = processor.add(now(), rest * 2 / 3, false, () -> {
                 call.job = null;
                 call.standing = true;
-                answer(Isup.of(circuit, Isup.Type.ANM, reportNow(now())));
+                answer(IsupMessage.of(circuit, IsupMessage.Type.ANM, reportNow(now())));
                 double hold = -Math.log(1 - random.nextDouble()) * meanHold.applyAsDouble(call.number);
                 int of = life;
                 loop.schedule(
@@ -533,7 +541,7 @@
                 call.over = true;
                 call.releasing = true;
                 held--;
-                send(IsupMessages.release(circuit, Isup.NORMAL_CLEARING, reportNow(now())));
+                send(IsupMessages.release(circuit, IsupMessage.NORMAL_CLEARING, reportNow(now())));
             }
         }
 
--- a/src/main/java/damsonseam/standin/Callers.java
+++ b/src/main/java/damsonseam/standin/Callers.java
@@ -1,11 +1,11 @@
 package damsonseam.standin;
 
 import damsonseam.audit.WireLog;
-import damsonseam.dns.CallHints;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.DnsFormatException;
 import damsonseam.dns.E164Name;
-import damsonseam.dns.EnumReplies;
+import damsonseam.dns.EdnsCallOption;
+import damsonseam.dns.EnumResponses;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -136,7 +136,7 @@
             long seed,
             WireLog wire) {
         this.loop = loop;
-        this.suffix = E164Name.suffix(suffix);
+        this.suffix = E164Name.parseSuffix(suffix);
         this.kinds = kinds;
         this.destination = destination;
         this.wire = wire;
@@ -257,14 +257,15 @@
         attempt.frontName = "front:" + attempt.front.getPort();
         Message question = new Message(attempt.id);
         question.addRecord(
-                Record.newRecord(E164Name.of(attempt.number, suffix), Type.NAPTR, DClass.IN), Section.QUESTION);
+                Record.newRecord(E164Name.toName(attempt.number, suffix), Type.NAPTR, DClass.IN), Section.QUESTION);
         question.addRecord(
                 new OPTRecord(
-                        DnsCodec.SAFE_UDP,
+                        DnsCodec.MAX_UDP_RESPONSE_BYTES,
                         0,
                         0,
                         0,
-                        List.of(new CallHints(attempt.redial > 0, Math.round(attempt.kind.patienceMs())).option())),
+                        List.of(new EdnsCallOption(attempt.redial > 0, Math.round(attempt.kind.patienceMs()))
+                                .toOption())),
                 Section.ADDITIONAL);
         attempt.question = question.toWire();
         asked.put(attempt.id, attempt);
@@ -326,7 +327,7 @@
             earnedBy.put(attempt.number, worth);
         } else if (isRefusal(answer)) {
             totals.refused++;
-            again(attempt, CallHints.of(answer.getOPT()).time());
+            again(attempt, EdnsCallOption.from(answer.getOPT()).timeMs());
         } else {
             totals.failed++;
             again(attempt, 0);
@@ -337,8 +338,8 @@
         OPTRecord opt = answer.getOPT();
         return opt != null
                 && opt.getOptions(15).stream()
-                        .anyMatch(o ->
-                                o instanceof ExtendedErrorCodeOption e && e.getErrorCode() == EnumReplies.EDE_REFUSED);
+                        .anyMatch(o -> o instanceof ExtendedErrorCodeOption e
+                                && e.getErrorCode() == EnumResponses.EDE_REFUSED);
     }
 
     /** Dials again after a wait that grows, or the advised one where that is longer, two callers of three. */
--- a/src/main/java/damsonseam/standin/DnsAuthority.java
+++ b/src/main/java/damsonseam/standin/DnsAuthority.java
@@ -78,7 +78,7 @@
      * @param ttl lifetime of its records in seconds
      */
     public DnsAuthority(String suffix, Function<String, List<String>> hosts, long ttl, EventLoop loop) {
-        this.suffix = E164Name.suffix(suffix);
+        this.suffix = E164Name.parseSuffix(suffix);
         this.hosts = hosts;
         this.ttl = ttl;
         this.loop = loop;
@@ -214,7 +214,7 @@
                 garbage[5] = 9;
                 to.accept(garbage);
             }
-            default -> to.accept(full(query).toWire(stream ? Message.MAXLENGTH : DnsCodec.SAFE_UDP));
+            default -> to.accept(full(query).toWire(stream ? Message.MAXLENGTH : DnsCodec.MAX_UDP_RESPONSE_BYTES));
         }
     }
 
@@ -229,7 +229,7 @@
     private Message full(Message query) {
         Message reply = start(query);
         Name asked = query.getQuestion().getName();
-        String number = asked.subdomain(suffix) ? E164Name.number(asked, suffix) : null;
+        String number = asked.subdomain(suffix) ? E164Name.toNumber(asked, suffix) : null;
         List<String> found = number == null ? List.of() : hosts.apply(number);
         if (found.isEmpty()) {
             reply.getHeader().setRcode(Rcode.NXDOMAIN);
--- a/src/test/java/damsonseam/CodecFuzzTest.java
+++ b/src/test/java/damsonseam/CodecFuzzTest.java
@@ -1,17 +1,17 @@
 package damsonseam;
 
 import com.code_intelligence.jazzer.junit.FuzzTest;
-import damsonseam.dns.CallHints;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.DnsFormatException;
+import damsonseam.dns.EdnsCallOption;
 import damsonseam.dns.NaptrRules;
-import damsonseam.ss7.Digits;
-import damsonseam.ss7.Isup;
+import damsonseam.ss7.CalledPartyNumber;
+import damsonseam.ss7.IsupMessage;
 import damsonseam.ss7.IsupMessages;
-import damsonseam.ss7.LoadReport;
-import damsonseam.ss7.M3ua;
+import damsonseam.ss7.LoadReportParameter;
+import damsonseam.ss7.M3uaMessage;
 import damsonseam.ss7.ProtocolData;
-import damsonseam.ss7.SignallingException;
+import damsonseam.ss7.SignallingProtocolException;
 import java.util.Arrays;
 import java.util.List;
 import org.xbill.DNS.NAPTRRecord;
@@ -27,14 +27,14 @@
     @FuzzTest(maxDuration = "1m")
     void m3ua(byte[] octets) {
         try {
-            M3ua message = M3ua.decode(octets);
-            M3ua again = M3ua.decode(message.encode());
+            M3uaMessage message = M3uaMessage.decode(octets);
+            M3uaMessage again = M3uaMessage.decode(message.encode());
             if (again.kind() != message.kind()
                     || again.parameters().size() != message.parameters().size()) {
                 throw new IllegalStateException("reads back otherwise");
             }
-            isup(ProtocolData.of(message).isup());
-        } catch (SignallingException e) {
+            isup(ProtocolData.from(message).isup());
+        } catch (SignallingProtocolException e) {
             // The codec's own word.
         }
     }
@@ -42,19 +42,19 @@
     @FuzzTest(maxDuration = "1m")
     void isup(byte[] octets) {
         try {
-            Isup message = Isup.decode(octets);
+            IsupMessage message = IsupMessage.decode(octets);
             byte[] written = message.encode();
-            if (!Arrays.equals(written, Isup.decode(written).encode())) {
+            if (!Arrays.equals(written, IsupMessage.decode(written).encode())) {
                 throw new IllegalStateException("reads back otherwise");
             }
             IsupMessages.cause(message);
             IsupMessages.congestionLevel(message);
             IsupMessages.callReference(message);
-            LoadReport.decode(message);
-            if (message.value(Isup.CALLED_NUMBER) != null) {
-                Digits.decode(message.value(Isup.CALLED_NUMBER));
+            LoadReportParameter.decode(message);
+            if (message.parameterValue(IsupMessage.CALLED_PARTY_NUMBER) != null) {
+                CalledPartyNumber.decode(message.parameterValue(IsupMessage.CALLED_PARTY_NUMBER));
             }
-        } catch (SignallingException e) {
+        } catch (SignallingProtocolException e) {
             // The codec's own word.
         }
     }
@@ -63,9 +63,9 @@
     void dns(byte[] octets) {
         try {
             var message = DnsCodec.decode(octets);
-            CallHints.of(message.getOPT());
+            EdnsCallOption.from(message.getOPT());
             List<Record> answers = message.getSection(Section.ANSWER);
-            NaptrRules.servers(
+            NaptrRules.serverHosts(
                     "59821000000001",
                     answers.stream()
                             .filter(r -> r instanceof NAPTRRecord)
--- a/src/test/java/damsonseam/audit/AuditorTest.java
+++ b/src/test/java/damsonseam/audit/AuditorTest.java
@@ -7,7 +7,7 @@
 import damsonseam.directory.wire.State;
 import damsonseam.directory.wire.Update;
 import damsonseam.dns.E164Name;
-import damsonseam.ss7.Isup;
+import damsonseam.ss7.IsupMessage;
 import damsonseam.ss7.IsupMessages;
 import damsonseam.ss7.ProtocolData;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
 
 /** Each checker is fed a run that breaks its rule, and a like one that keeps it. */
 class AuditorTest {
-    private static final Name SUFFIX = E164Name.suffix("e164.example.org");
+    private static final Name SUFFIX = E164Name.parseSuffix("e164.example.org");
     private static final String NUMBER = "59821000000001";
     private static final int FRONT = 5_000;
     private final List<WireLog.Line> lines = new ArrayList<>();
@@ -51,7 +51,7 @@
 
     private static Message question(String number) {
         Message m = new Message(7);
-        m.addRecord(Record.newRecord(E164Name.of(number, SUFFIX), Type.NAPTR, DClass.IN), Section.QUESTION);
+        m.addRecord(Record.newRecord(E164Name.toName(number, SUFFIX), Type.NAPTR, DClass.IN), Section.QUESTION);
         return m;
     }
 
@@ -66,7 +66,7 @@
         if (server != null) {
             m.addRecord(
                     new NAPTRRecord(
-                            E164Name.of(number, SUFFIX),
+                            E164Name.toName(number, SUFFIX),
                             DClass.IN,
                             0,
                             1,
@@ -80,7 +80,7 @@
         at(ms, "front:53", "callers:1", WireLog.DNS, m.toWire());
     }
 
-    private void signal(double ms, int server, boolean toServer, Isup message) {
+    private void signal(double ms, int server, boolean toServer, IsupMessage message) {
         int opc = toServer ? FRONT : server;
         int dpc = toServer ? server : FRONT;
         String name = server == 1_000 ? "a" : "b";
@@ -89,11 +89,11 @@
                 toServer ? "front-5000" : name,
                 toServer ? name : "front-5000",
                 WireLog.M3UA,
-                new ProtocolData(opc, dpc, 0, message.encode()).message().encode());
+                new ProtocolData(opc, dpc, 0, message.encode()).toMessage().encode());
     }
 
     private void setUp(double ms, int server, int circuit, String number) {
-        signal(ms, server, true, IsupMessages.setUp(circuit, number, 10, 1, FRONT));
+        signal(ms, server, true, IsupMessages.initialAddress(circuit, number, 10, 1, FRONT));
     }
 
     private void tell(double ms, String front, boolean full, String server, State state, long age) {
@@ -131,14 +131,14 @@
     private void standing() {
         ask(100, NUMBER);
         setUp(110, 1_000, 1, NUMBER);
-        signal(150, 1_000, false, Isup.of(1, Isup.Type.ANM));
+        signal(150, 1_000, false, IsupMessage.of(1, IsupMessage.Type.ANM));
         answer(151, NUMBER, Rcode.NOERROR, "a");
     }
 
     @Test
     void anOrderlyCallBreaksNothing() {
         standing();
-        signal(900, 1_000, false, IsupMessages.release(1, Isup.NORMAL_CLEARING));
+        signal(900, 1_000, false, IsupMessages.release(1, IsupMessage.NORMAL_CLEARING));
         AuditReport report = audit();
         assertEquals(0, report.violations());
         assertEquals(1, report.calls());
@@ -202,7 +202,7 @@
         ask(100, NUMBER);
         setUp(110, 1_000, 1, NUMBER);
         at(2_000, "scenario", "front-5000", WireLog.STALL, "2000".getBytes());
-        signal(3_500, 1_000, false, Isup.of(1, Isup.Type.ANM));
+        signal(3_500, 1_000, false, IsupMessage.of(1, IsupMessage.Type.ANM));
         answer(4_010, NUMBER, Rcode.NOERROR, "a");
         breaks(1, 1);
     }
@@ -237,7 +237,7 @@
     void rule2OneAfterTheOtherWasTurnedAway() {
         ask(100, NUMBER);
         setUp(110, 1_000, 1, NUMBER);
-        signal(120, 1_000, false, IsupMessages.release(1, Isup.SWITCH_CONGESTION));
+        signal(120, 1_000, false, IsupMessages.release(1, IsupMessage.SWITCHING_EQUIPMENT_CONGESTION));
         setUp(121, 1_001, 1, NUMBER);
         answer(600, NUMBER, Rcode.SERVFAIL, null);
         breaks(2, 0);
@@ -268,7 +268,7 @@
         tell(100, "front-5000", false, "a", State.DRAINING, -1);
         ask(280, NUMBER);
         setUp(300, 1_000, 1, NUMBER);
-        signal(310, 1_000, false, IsupMessages.release(1, Isup.NO_CIRCUIT));
+        signal(310, 1_000, false, IsupMessages.release(1, IsupMessage.NO_CIRCUIT_AVAILABLE));
         tell(320, "front-5000", false, "a", State.RUNNING, -1);
         tell(330, "front-5001", false, "a", State.GONE, -1);
         setUp(900, 1_000, 1, NUMBER);
@@ -309,7 +309,7 @@
     void rule5SentAgainTooSoonAfterATimeOut() {
         ask(100, NUMBER);
         setUp(110, 1_000, 1, NUMBER);
-        signal(700, 1_000, true, IsupMessages.release(1, Isup.TIMER_EXPIRED));
+        signal(700, 1_000, true, IsupMessages.release(1, IsupMessage.RECOVERY_ON_TIMER_EXPIRY));
         setUp(990, 1_001, 1, NUMBER);
         answer(1_500, NUMBER, Rcode.SERVFAIL, null);
         breaks(5, 1);
@@ -329,7 +329,7 @@
     void rule5AfterTheGuard() {
         ask(100, NUMBER);
         setUp(110, 1_000, 1, NUMBER);
-        signal(700, 1_000, true, IsupMessages.release(1, Isup.TIMER_EXPIRED));
+        signal(700, 1_000, true, IsupMessages.release(1, IsupMessage.RECOVERY_ON_TIMER_EXPIRY));
         setUp(1_001, 1_001, 1, NUMBER);
         answer(1_500, NUMBER, Rcode.SERVFAIL, null);
         breaks(5, 0);
--- a/src/test/java/damsonseam/day/DaySearchTest.java
+++ b/src/test/java/damsonseam/day/DaySearchTest.java
@@ -10,7 +10,7 @@
 import damsonseam.audit.WireLog;
 import damsonseam.config.Yaml;
 import damsonseam.dns.E164Name;
-import damsonseam.ss7.Isup;
+import damsonseam.ss7.IsupMessage;
 import damsonseam.ss7.IsupMessages;
 import damsonseam.ss7.ProtocolData;
 import damsonseam.standin.Scenario;
@@ -86,20 +86,22 @@
         String number = "59821000000007";
         Message question = new Message(7);
         question.addRecord(
-                Record.newRecord(E164Name.of(number, E164Name.suffix("e164.example.org")), Type.NAPTR, DClass.IN),
+                Record.newRecord(
+                        E164Name.toName(number, E164Name.parseSuffix("e164.example.org")), Type.NAPTR, DClass.IN),
                 Section.QUESTION);
         Message answer = question.clone();
         answer.getHeader().setFlag(Flags.QR);
         answer.getHeader().setRcode(Rcode.SERVFAIL);
         try (WireLog log = new WireLog(folder.resolve("wire").resolve("a.jsonl"), System.nanoTime())) {
             log.write(100, "callers:1", "front:53", WireLog.DNS, question.toWire());
-            log.write(200, "front-5000", "a", WireLog.M3UA, signal(IsupMessages.setUp(3, number, 10, 1, 5_000)));
+            log.write(
+                    200, "front-5000", "a", WireLog.M3UA, signal(IsupMessages.initialAddress(3, number, 10, 1, 5_000)));
             log.write(
                     210,
                     "front-5000",
                     "a",
                     WireLog.M3UA,
-                    signal(IsupMessages.setUp(4, "59821000000008", 10, 1, 5_000)));
+                    signal(IsupMessages.initialAddress(4, "59821000000008", 10, 1, 5_000)));
             log.write(300, "front-5000", "a", WireLog.M3UA, signal(IsupMessages.release(3, 102)));
             log.write(310, "front-5000", "a", WireLog.M3UA, signal(IsupMessages.release(4, 102)));
             log.write(400, "front:53", "callers:1", WireLog.DNS, answer.toWire());
@@ -115,7 +117,7 @@
         assertEquals(List.of(), CallStory.of(folder, new Finding(4, 300, "all", "calculator a")));
     }
 
-    private static byte[] signal(Isup message) {
-        return new ProtocolData(5_000, 1_000, 0, message.encode()).message().encode();
+    private static byte[] signal(IsupMessage message) {
+        return new ProtocolData(5_000, 1_000, 0, message.encode()).toMessage().encode();
     }
 }
--- a/src/test/java/damsonseam/dns/DnsPiecesTest.java
+++ b/src/test/java/damsonseam/dns/DnsCodecAndCacheTest.java
@@ -19,19 +19,19 @@
 import org.xbill.DNS.NAPTRRecord;
 import org.xbill.DNS.Name;
 
-class DnsPiecesTest {
-    private static final Name SUFFIX = E164Name.suffix("e164.example.org");
+class DnsCodecAndCacheTest {
+    private static final Name SUFFIX = E164Name.parseSuffix("e164.example.org");
 
     @Property(tries = 300)
     void numbersComeBackFromTheirNames(@ForAll @NumericChars @StringLength(min = 1, max = 20) String number) {
-        assertEquals(number, E164Name.number(E164Name.of(number, SUFFIX), SUFFIX));
+        assertEquals(number, E164Name.toNumber(E164Name.toName(number, SUFFIX), SUFFIX));
     }
 
     /** Nothing but the codec's own error comes out of any octets. */
     @Property(tries = 10_000)
     void theCodecBearsAnything(@ForAll @Size(max = 120) byte[] octets) {
         try {
-            CallHints.of(DnsCodec.decode(octets).getOPT());
+            EdnsCallOption.from(DnsCodec.decode(octets).getOPT());
         } catch (DnsFormatException e) {
             assertTrue(e.getMessage().startsWith("not a DNS message"));
         }
@@ -39,13 +39,13 @@
 
     @Property(tries = 10_000)
     void theCodecBearsAnythingBehindASoundHeader(@ForAll @Size(max = 80) byte[] body, @ForAll byte counts) {
-        byte[] octets = new byte[DnsCodec.HEADER + body.length];
+        byte[] octets = new byte[DnsCodec.HEADER_BYTES + body.length];
         for (int i = 0; i < 4; i++) {
             octets[5 + 2 * i] = (byte) (counts >> 2 * i & 3);
         }
-        System.arraycopy(body, 0, octets, DnsCodec.HEADER, body.length);
+        System.arraycopy(body, 0, octets, DnsCodec.HEADER_BYTES, body.length);
         try {
-            CallHints.of(DnsCodec.decode(octets).getOPT());
+            EdnsCallOption.from(DnsCodec.decode(octets).getOPT());
         } catch (DnsFormatException e) {
             assertNotNull(e.getCause());
         }
@@ -55,9 +55,9 @@
     void namesThatAreNoNumberAreTold() throws Exception {
         for (String name : List.of("a.2", "12.3", "", "1.2.3.4.5.6.7.8.9.0.1.2.3.4.5.6.7.8.9.0.1")) {
             Name full = name.isEmpty() ? SUFFIX : Name.fromString(name, SUFFIX);
-            assertNull(E164Name.number(full, SUFFIX), name);
+            assertNull(E164Name.toNumber(full, SUFFIX), name);
         }
-        assertThrows(IllegalArgumentException.class, () -> E164Name.of("12a", SUFFIX));
+        assertThrows(IllegalArgumentException.class, () -> E164Name.toName("12a", SUFFIX));
     }
 
     @Test
@@ -79,30 +79,30 @@
 
     @Test
     void rulesThatAreNotTerminalSipAreLeftOut() {
-        Name name = E164Name.of("598", SUFFIX);
+        Name name = E164Name.toName("598", SUFFIX);
         List<NAPTRRecord> rules = List.of(
                 new NAPTRRecord(name, DClass.IN, 1, 100, 30, "u", "E2U+sip", "!^.*$!sip:c@c.org;x=1!", Name.root),
                 new NAPTRRecord(name, DClass.IN, 1, 100, 20, "u", "E2U+mailto", "!^.*$!mailto:m@m.org!", Name.root),
                 new NAPTRRecord(name, DClass.IN, 1, 100, 10, "u", "E2U+SIP", "!^.*$!SIP:B.org:5060!", Name.root),
                 new NAPTRRecord(name, DClass.IN, 1, 50, 99, "", "E2U+sip", "", SUFFIX),
                 new NAPTRRecord(name, DClass.IN, 1, 50, 99, "u", "E2U+sip", "!^.*$!sip:a@a.org!", Name.root));
-        assertEquals(List.of("a.org", "b.org", "c.org"), NaptrRules.servers("598", rules));
+        assertEquals(List.of("a.org", "b.org", "c.org"), NaptrRules.serverHosts("598", rules));
     }
 
     @Test
     void aFullTransactionTableMakesRoomOnlyOfAnsweredQuestions() {
-        Transactions table = new Transactions(2, 1_000);
-        Transactions.Key a = new Transactions.Key("a", 1, "n");
-        Transactions.Key b = new Transactions.Key("b", 1, "n");
-        Transactions.Key c = new Transactions.Key("c", 1, "n");
+        TransactionTable table = new TransactionTable(2, 1_000);
+        TransactionTable.Key a = new TransactionTable.Key("a", 1, "n");
+        TransactionTable.Key b = new TransactionTable.Key("b", 1, "n");
+        TransactionTable.Key c = new TransactionTable.Key("c", 1, "n");
         assertTrue(table.open(a, 0));
         assertTrue(table.open(b, 0));
         assertFalse(table.open(c, 0));
-        table.answer(a, new byte[] {1}, 1);
+        table.complete(a, new byte[] {1}, 1);
         assertTrue(table.open(c, 2));
         assertNull(table.find(a, 2));
-        table.answer(b, new byte[] {2}, 3);
-        assertArrayEquals(new byte[] {2}, table.find(b, 900).answer());
+        table.complete(b, new byte[] {2}, 3);
+        assertArrayEquals(new byte[] {2}, table.find(b, 900).response());
         assertNull(table.find(b, 1_100));
     }
 
@@ -115,8 +115,8 @@
         cache.find("1", 1);
         cache.put("3", found, 1, 2);
         assertNull(cache.find("2", 3));
-        assertTrue(cache.find("1", 3).fresh());
-        assertFalse(cache.find("1", 1_500).fresh());
+        assertTrue(cache.find("1", 3).isFresh());
+        assertFalse(cache.find("1", 1_500).isFresh());
         assertNull(cache.find("1", 2_500));
     }
 }
--- a/src/test/java/damsonseam/dns/EnumServiceTest.java
+++ b/src/test/java/damsonseam/dns/EnumServiceTest.java
@@ -42,7 +42,7 @@
     }
 
     private static Name name(String number) {
-        return E164Name.of(number, SimFront.SUFFIX);
+        return E164Name.toName(number, SimFront.SUFFIX);
     }
 
     @Test
@@ -54,7 +54,7 @@
         assertEquals(mixed.toString(), answer.getQuestion().getName().toString(), "the case is kept");
         NAPTRRecord rule = (NAPTRRecord) answer.getSection(Section.ANSWER).get(0);
         assertEquals(0, rule.getTTL());
-        assertEquals(List.of("s0"), NaptrRules.servers(NUMBER, List.of(rule)));
+        assertEquals(List.of("s0"), NaptrRules.serverHosts(NUMBER, List.of(rule)));
         assertTrue(rule.getRegexp().matches("!\\^\\.\\*\\$!sip:[0-9a-f]+@s0!"), rule.getRegexp());
     }
 
@@ -114,7 +114,8 @@
     void theCallersOwnTimeShortensTheCall() {
         front.modes.put("s0", SimFront.Mode.SILENT);
         Message query = query(name(NUMBER), Type.NAPTR, DClass.IN);
-        query.addRecord(new OPTRecord(1232, 0, 0, 0, List.of(new CallHints(true, 500).option())), Section.ADDITIONAL);
+        query.addRecord(
+                new OPTRecord(1232, 0, 0, 0, List.of(new EdnsCallOption(true, 500).toOption())), Section.ADDITIONAL);
         double asked = front.now;
         front.octets("desk", query.toWire());
         front.run(1_000);
@@ -131,18 +132,19 @@
         full.ask("b", 2, "59821000000002");
         Message refused = full.replies.get(0).message();
         assertEquals(Rcode.REFUSED, refused.getRcode());
-        assertEquals(2_000, CallHints.of(refused.getOPT()).time());
+        assertEquals(2_000, EdnsCallOption.from(refused.getOPT()).timeMs());
         ExtendedErrorCodeOption error =
                 (ExtendedErrorCodeOption) refused.getOPT().getOptions(15).get(0);
-        assertEquals(EnumReplies.EDE_REFUSED, error.getErrorCode());
+        assertEquals(EnumResponses.EDE_REFUSED, error.getErrorCode());
     }
 
     @Test
     void anAnswerTooLongForUdpIsCutAndSaysSo() throws Exception {
         Message query = query(name(NUMBER), Type.NAPTR, DClass.IN);
-        byte[] whole = EnumReplies.negative(query, Rcode.NXDOMAIN, SimFront.SUFFIX, DnsCodec.PLAIN_UDP);
+        byte[] whole =
+                EnumResponses.negative(query, Rcode.NXDOMAIN, SimFront.SUFFIX, DnsCodec.MAX_UDP_BYTES_WITHOUT_EDNS);
         assertFalse(DnsCodec.decode(whole).getHeader().getFlag(Flags.TC));
-        byte[] cut = EnumReplies.negative(query, Rcode.NXDOMAIN, SimFront.SUFFIX, whole.length - 1);
+        byte[] cut = EnumResponses.negative(query, Rcode.NXDOMAIN, SimFront.SUFFIX, whole.length - 1);
         assertTrue(cut.length < whole.length);
         assertTrue(DnsCodec.decode(cut).getHeader().getFlag(Flags.TC));
     }
--- a/src/test/java/damsonseam/dns/PlainQuestionTest.java
+++ b/src/test/java/damsonseam/dns/FastPathQueryTest.java
@@ -25,18 +25,18 @@
 import org.xbill.DNS.Type;
 
 /** The short way of reading and writing says exactly what the long way through dnsjava says. */
-class PlainQuestionTest {
-    private static final Name SUFFIX = E164Name.suffix("e164.example.org");
-    private static final PlainQuestion.Suffix PLAIN = new PlainQuestion.Suffix(SUFFIX);
+class FastPathQueryTest {
+    private static final Name SUFFIX = E164Name.parseSuffix("e164.example.org");
+    private static final FastPathQuery.WireSuffix PLAIN = new FastPathQuery.WireSuffix(SUFFIX);
 
     private static Message question(int id, String number, boolean edns, int payload, long time, boolean again) {
         Message query = new Message(id);
-        query.addRecord(Record.newRecord(E164Name.of(number, SUFFIX), Type.NAPTR, DClass.IN), Section.QUESTION);
+        query.addRecord(Record.newRecord(E164Name.toName(number, SUFFIX), Type.NAPTR, DClass.IN), Section.QUESTION);
         if (edns) {
             query.addRecord(
                     time < 0
                             ? new OPTRecord(payload, 0, 0)
-                            : new OPTRecord(payload, 0, 0, 0, List.of(new CallHints(again, time).option())),
+                            : new OPTRecord(payload, 0, 0, 0, List.of(new EdnsCallOption(again, time).toOption())),
                     Section.ADDITIONAL);
         }
         return query;
@@ -61,21 +61,23 @@
             query.getHeader().setFlag(Flags.CD);
         }
         byte[] wire = query.toWire();
-        PlainQuestion plain = PlainQuestion.read(wire, PLAIN);
+        FastPathQuery plain = FastPathQuery.parse(wire, PLAIN);
         assertNotNull(plain);
         assertEquals(number.toString(), plain.number());
         assertEquals(id, plain.id());
-        assertEquals(CallHints.of(query.getOPT()), plain.hints());
+        assertEquals(EdnsCallOption.from(query.getOPT()), plain.callOption());
         FinalAnswer answer = new FinalAnswer(
                 kind,
                 kind == FinalAnswer.Kind.STANDS ? "calc-01.example.org" : "",
                 kind == FinalAnswer.Kind.REFUSED ? Math.max(0, time) : 0,
                 "why so");
-        byte[] octets = PlainReply.of(plain, seed, answer, plain.limit());
+        byte[] octets = FastPathResponse.encode(plain, seed, answer, plain.maxResponseBytes());
         if (octets == null) {
             assertEquals(FinalAnswer.Kind.UNKNOWN_NUMBER, kind);
         } else {
-            assertArrayEquals(EnumReplies.of(DnsCodec.decode(wire), seed, answer, SUFFIX, plain.limit()), octets);
+            assertArrayEquals(
+                    EnumResponses.finalAnswer(DnsCodec.decode(wire), seed, answer, SUFFIX, plain.maxResponseBytes()),
+                    octets);
         }
     }
 
@@ -86,16 +88,16 @@
         byte[] wire = question(7, "59821000000001", edns, 1232, 2_900, false).toWire();
         wire[random.nextInt(wire.length)] = (byte) random.nextInt(256);
         byte[] cut = random.nextInt(4) == 0 ? Arrays.copyOf(wire, random.nextInt(wire.length + 1)) : wire;
-        PlainQuestion plain = PlainQuestion.read(cut, PLAIN);
+        FastPathQuery plain = FastPathQuery.parse(cut, PLAIN);
         if (plain == null) {
             return;
         }
         try {
             Message query = DnsCodec.decode(cut);
-            assertEquals(E164Name.number(query.getQuestion().getName(), SUFFIX), plain.number());
+            assertEquals(E164Name.toNumber(query.getQuestion().getName(), SUFFIX), plain.number());
             assertEquals(Type.NAPTR, query.getQuestion().getType());
-            assertEquals(CallHints.of(query.getOPT()), plain.hints());
-            assertEquals(query.getOPT() != null, plain.edns());
+            assertEquals(EdnsCallOption.from(query.getOPT()), plain.callOption());
+            assertEquals(query.getOPT() != null, plain.hasEdns());
         } catch (DnsFormatException e) {
             throw new AssertionError("read the short way, but no message", e);
         }
@@ -105,18 +107,18 @@
     void whatIsNotPlainGoesTheLongWay() {
         Message other = question(1, "5982", false, 0, -1, false);
         byte[] wire = other.toWire();
-        assertNotNull(PlainQuestion.read(wire, PLAIN));
-        assertNull(PlainQuestion.read(new byte[0], PLAIN));
-        assertNull(PlainQuestion.read(Arrays.copyOf(wire, wire.length + 1), PLAIN), "octets behind the message");
+        assertNotNull(FastPathQuery.parse(wire, PLAIN));
+        assertNull(FastPathQuery.parse(new byte[0], PLAIN));
+        assertNull(FastPathQuery.parse(Arrays.copyOf(wire, wire.length + 1), PLAIN), "octets behind the message");
         byte[] answer = wire.clone();
         answer[2] |= (byte) 0x80;
-        assertNull(PlainQuestion.read(answer, PLAIN));
+        assertNull(FastPathQuery.parse(answer, PLAIN));
         Message any = new Message(1);
         any.addRecord(Record.newRecord(SUFFIX, Type.NAPTR, DClass.IN), Section.QUESTION);
-        assertNull(PlainQuestion.read(any.toWire(), PLAIN));
+        assertNull(FastPathQuery.parse(any.toWire(), PLAIN));
         Message two = question(1, "5982", true, 1232, -1, false);
         two.addRecord(new OPTRecord(1232, 0, 0), Section.ADDITIONAL);
-        assertNull(PlainQuestion.read(two.toWire(), PLAIN));
+        assertNull(FastPathQuery.parse(two.toWire(), PLAIN));
     }
 
     @Test
@@ -124,10 +126,10 @@
         byte[] wire = question(1, "5982", false, 0, -1, false).toWire();
         byte[] upper = wire.clone();
         upper[12 + 8 + 1] = 'E';
-        PlainQuestion plain = PlainQuestion.read(upper, PLAIN);
+        FastPathQuery plain = FastPathQuery.parse(upper, PLAIN);
         assertNotNull(plain);
-        assertEquals(PlainQuestion.read(wire, PLAIN).fingerprint(5), plain.fingerprint(5), "the same question");
+        assertEquals(FastPathQuery.parse(wire, PLAIN).fingerprint(5), plain.fingerprint(5), "the same question");
         assertNotEquals(plain.fingerprint(5), plain.fingerprint(6));
-        assertEquals('E', PlainReply.refused(plain, 100, "busy", 512)[21]);
+        assertEquals('E', FastPathResponse.encodeRefused(plain, 100, "busy", 512)[21]);
     }
 }
--- a/src/test/java/damsonseam/dns/ResolverTest.java
+++ b/src/test/java/damsonseam/dns/ResolverTest.java
@@ -21,30 +21,30 @@
 
 class ResolverTest {
     private static final String NUMBER = "59821000000001";
-    private static final Name SUFFIX = E164Name.suffix("e164.example.org");
+    private static final Name SUFFIX = E164Name.parseSuffix("e164.example.org");
     private final Timers timers = new Timers(0);
     private final List<Question> asked = new ArrayList<>();
     private final List<String> told = new ArrayList<>();
     private final Resolver resolver = new Resolver(
             SUFFIX,
             new LookupCache(100, 60_000),
-            new Authorities(2),
+            new AuthoritySelector(2),
             timers,
             7,
             new Resolver.Limits(4, 6, 50, 300),
             new Resolver.Output() {
                 @Override
-                public void udp(int authority, int socket, byte[] question) {
+                public void sendUdp(int authority, int socket, byte[] question) {
                     asked.add(new Question(authority, socket, question));
                 }
 
                 @Override
-                public void tcp(int authority, byte[] question) {
-                    asked.add(new Question(authority, Resolver.STREAM, question));
+                public void sendTcp(int authority, byte[] question) {
+                    asked.add(new Question(authority, Resolver.TCP_SOCKET, question));
                 }
 
                 @Override
-                public void lookedUp(double now, long call, Candidates candidates) {
+                public void onLookupComplete(double now, long call, Candidates candidates) {
                     told.add(call + " " + candidates.outcome() + " " + candidates.servers());
                 }
             });
@@ -62,14 +62,14 @@
 
     private void run(double until) {
         for (; now <= until; now += 1) {
-            resolver.clock(now);
+            resolver.advanceClock(now);
             timers.poll(now);
-            resolver.deliver(now);
+            resolver.deliverKnownResults(now);
         }
     }
 
     private void lookUp(long call) {
-        resolver.clock(now);
+        resolver.advanceClock(now);
         resolver.lookUp(call, NUMBER, now + 2_000);
     }
 
@@ -102,7 +102,7 @@
     }
 
     private void answer(Question to, Message reply) {
-        resolver.answer(now, to.authority(), to.socket(), reply.toWire());
+        resolver.onResponse(now, to.authority(), to.socket(), reply.toWire());
     }
 
     @Test
@@ -123,7 +123,7 @@
         assertEquals(1, asked.size());
         answer(last(), reply(last(), "a.example.org"));
         assertEquals(2, told.size());
-        assertEquals(0, resolver.out());
+        assertEquals(0, resolver.pendingLookups());
     }
 
     /** Hard case: lost answers. The next authority is asked, and a late answer of the first still counts. */
@@ -143,7 +143,7 @@
         lookUp(1);
         run(4_000);
         assertEquals(List.of("1 UNAVAILABLE []"), told);
-        assertEquals(0, resolver.out());
+        assertEquals(0, resolver.pendingLookups());
         answer(asked.get(0), reply(asked.get(0), "a.example.org"));
         assertEquals(1, told.size());
         assertEquals(0, timers.size());
@@ -160,7 +160,7 @@
             answer(first, forged);
         }
         assertTrue(told.isEmpty());
-        assertEquals(Resolver.STREAM, last().socket());
+        assertEquals(Resolver.TCP_SOCKET, last().socket());
         answer(last(), reply(last(), "a.example.org"));
         assertEquals(List.of("1 FOUND [a.example.org]"), told);
     }
@@ -170,11 +170,12 @@
         lookUp(1);
         Question q = last();
         Message right = reply(q, "a.example.org");
-        resolver.answer(now, 1 - q.authority(), q.socket(), right.toWire());
-        resolver.answer(now, q.authority(), (q.socket() + 1) % 4, right.toWire());
+        resolver.onResponse(now, 1 - q.authority(), q.socket(), right.toWire());
+        resolver.onResponse(now, q.authority(), (q.socket() + 1) % 4, right.toWire());
         Message lower = reply(q, "a.example.org");
         lower.removeAllRecords(Section.QUESTION);
-        lower.addRecord(org.xbill.DNS.Record.newRecord(E164Name.of(NUMBER, SUFFIX), 35, DClass.IN), Section.QUESTION);
+        lower.addRecord(
+                org.xbill.DNS.Record.newRecord(E164Name.toName(NUMBER, SUFFIX), 35, DClass.IN), Section.QUESTION);
         assertFalse(
                 lower.getQuestion()
                         .getName()
@@ -183,7 +184,7 @@
                 "the case of the letters is drawn");
         answer(q, lower);
         assertTrue(told.isEmpty());
-        assertEquals(3, resolver.counts().mismatched);
+        assertEquals(3, resolver.counts().mismatchedResponses);
         answer(q, right);
         assertEquals(1, told.size());
     }
@@ -194,7 +195,7 @@
         Message cut = reply(last());
         cut.getHeader().setFlag(Flags.TC);
         answer(last(), cut);
-        assertEquals(Resolver.STREAM, last().socket());
+        assertEquals(Resolver.TCP_SOCKET, last().socket());
         assertEquals(asked.get(0).authority(), last().authority());
         answer(last(), reply(last(), "a.example.org"));
         assertEquals(1, told.size());
@@ -267,7 +268,7 @@
         }
         run(5);
         assertEquals(List.of("50 UNAVAILABLE []"), told);
-        assertEquals(50, resolver.out());
+        assertEquals(50, resolver.pendingLookups());
     }
 
     @Test
@@ -279,7 +280,7 @@
             if (length >= 2) {
                 System.arraycopy(last().octets(), 0, garbage, 0, 2);
             }
-            resolver.answer(now, last().authority(), last().socket(), garbage);
+            resolver.onResponse(now, last().authority(), last().socket(), garbage);
         }
         assertTrue(told.isEmpty());
     }
--- a/src/test/java/damsonseam/front/FrontOverloadTest.java
+++ b/src/test/java/damsonseam/front/FrontOverloadTest.java
@@ -7,9 +7,9 @@
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.config.Span;
-import damsonseam.dns.CallHints;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.E164Name;
+import damsonseam.dns.EdnsCallOption;
 import damsonseam.load.Load;
 import damsonseam.load.LoadPlan;
 import damsonseam.load.LoadResult;
@@ -85,10 +85,11 @@
     private static Message question(int id, String number) {
         Message query = new Message(id);
         query.addRecord(
-                Record.newRecord(E164Name.of(number, E164Name.suffix(Surroundings.SUFFIX)), Type.NAPTR, DClass.IN),
+                Record.newRecord(
+                        E164Name.toName(number, E164Name.parseSuffix(Surroundings.SUFFIX)), Type.NAPTR, DClass.IN),
                 Section.QUESTION);
         query.addRecord(
-                new OPTRecord(1232, 0, 0, 0, List.of(new CallHints(false, 2_100).option())), Section.ADDITIONAL);
+                new OPTRecord(1232, 0, 0, 0, List.of(new EdnsCallOption(false, 2_100).toOption())), Section.ADDITIONAL);
         return query;
     }
 
@@ -127,7 +128,7 @@
             int refusedDear = 0;
             while (answers.size() < 2 * each) {
                 byte[] answer = receive(socket);
-                int id = DnsCodec.id(answer);
+                int id = DnsCodec.messageId(answer);
                 assertTrue(answers.put(id, answer) == null, "a second answer for " + id);
                 boolean refused = DnsCodec.decode(answer).getRcode() == Rcode.REFUSED;
                 refusedCheap += refused && id % 2 == 0 ? 1 : 0;
--- a/src/test/java/damsonseam/front/FrontServerTest.java
+++ b/src/test/java/damsonseam/front/FrontServerTest.java
@@ -7,11 +7,11 @@
 
 import damsonseam.config.Endpoint;
 import damsonseam.directory.wire.State;
-import damsonseam.dns.CallHints;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.E164Name;
+import damsonseam.dns.EdnsCallOption;
 import damsonseam.dns.NaptrRules;
-import damsonseam.ss7.M3ua;
+import damsonseam.ss7.M3uaMessage;
 import damsonseam.standin.DnsAuthority;
 import damsonseam.standin.Scenario;
 import damsonseam.standin.Surroundings;
@@ -76,10 +76,11 @@
     private byte[] question(String number) {
         Message query = new Message(nextId++);
         query.addRecord(
-                Record.newRecord(E164Name.of(number, E164Name.suffix(Surroundings.SUFFIX)), Type.NAPTR, DClass.IN),
+                Record.newRecord(
+                        E164Name.toName(number, E164Name.parseSuffix(Surroundings.SUFFIX)), Type.NAPTR, DClass.IN),
                 Section.QUESTION);
         query.addRecord(
-                new OPTRecord(1232, 0, 0, 0, List.of(new CallHints(false, 2_900).option())), Section.ADDITIONAL);
+                new OPTRecord(1232, 0, 0, 0, List.of(new EdnsCallOption(false, 2_900).toOption())), Section.ADDITIONAL);
         return query.toWire();
     }
 
@@ -104,7 +105,7 @@
                 .toList();
         return rules.isEmpty()
                 ? Rcode.string(answer.getRcode())
-                : NaptrRules.servers(number, rules).get(0);
+                : NaptrRules.serverHosts(number, rules).get(0);
     }
 
     private String call(int first, int n) throws Exception {
@@ -127,7 +128,7 @@
             Set<Integer> asked = new HashSet<>();
             for (int i = 0; i < 5; i++) {
                 byte[] question = question(number(i % 3, i));
-                asked.add(DnsCodec.id(question));
+                asked.add(DnsCodec.messageId(question));
                 out.writeShort(question.length);
                 // Half a frame now, the rest in a later segment.
                 out.write(question, 0, 5);
@@ -139,7 +140,7 @@
             for (int i = 0; i < 5; i++) {
                 byte[] answer = new byte[in.readUnsignedShort()];
                 in.readFully(answer);
-                assertTrue(asked.remove(DnsCodec.id(answer)));
+                assertTrue(asked.remove(DnsCodec.messageId(answer)));
                 assertEquals(Rcode.NOERROR, DnsCodec.decode(answer).getRcode());
             }
         }
@@ -179,7 +180,7 @@
                 socket.getOutputStream().write(octets);
             }
         }
-        byte[] sound = M3ua.of(M3ua.Kind.NTFY).encode();
+        byte[] sound = M3uaMessage.of(M3uaMessage.Kind.NTFY).encode();
         sound[3] = 9;
         around.calculators().get(0).sendRaw(sound);
         assertNotEquals("", call(0, 1));
@@ -208,10 +209,10 @@
     @Test
     void aDestinationToldUnavailableIsLeftUntilItIsToldAvailable() throws Exception {
         assertEquals("calc-00.example.org", call(0, 1));
-        around.calculators().get(0).tell(M3ua.Kind.DUNA, 0);
+        around.calculators().get(0).tell(M3uaMessage.Kind.DUNA, 0);
         await().atMost(LONG).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
-        around.calculators().get(0).tell(M3ua.Kind.SCON, 2);
-        around.calculators().get(0).tell(M3ua.Kind.DAVA, 0);
+        around.calculators().get(0).tell(M3uaMessage.Kind.SCON, 2);
+        around.calculators().get(0).tell(M3uaMessage.Kind.DAVA, 0);
         await().atMost(LONG).until(() -> call(0, 50 + nextId).equals("calc-00.example.org"));
     }
 
@@ -257,7 +258,8 @@
             socket.send(new DatagramPacket(question, question.length, front.enumAddress()));
             await().atMost(LONG).until(() -> front.openCalls() == 1);
             front.drain();
-            assertEquals(DnsCodec.id(question), receive(socket).getHeader().getID());
+            assertEquals(
+                    DnsCodec.messageId(question), receive(socket).getHeader().getID());
         }
     }
 }
