--- a/src/test/java/damsonseam/sim/HardCasesTest.java
+++ b/src/test/java/damsonseam/sim/HardCasesTest.java
@@ -9,7 +9,7 @@
 import damsonseam.sim.SimFront.Mode;
 import damsonseam.sim.SimFront.Reply;
 import damsonseam.sim.SimFront.Sent;
-import damsonseam.ss7.Isup;
+import damsonseam.ss7.IsupMessage;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -142,10 +142,10 @@
         front.run(3_100);
         assertEquals("failed", only());
         assertEquals(0, front.router().open());
-        assertEquals(1, front.trunks("s0").busy());
+        assertEquals(1, front.trunks("s0").busyCircuits());
         front.losesCompletes = false;
         front.run(15_100);
-        assertEquals(0, front.trunks("s0").busy(), "released when asked for again");
+        assertEquals(0, front.trunks("s0").busyCircuits(), "released when asked for again");
     }
 
     @Test
@@ -153,13 +153,13 @@
         front.start("s0");
         front.ask("desk", 1, TO_S0);
         front.run(50);
-        assertEquals(1, front.trunks("s0").busy());
+        assertEquals(1, front.trunks("s0").busyCircuits());
         front.from(
                 "s0",
                 damsonseam.ss7.IsupMessages.release(
-                        front.setUps("s0").get(0).message().circuit(), Isup.NORMAL_CLEARING));
+                        front.setUps("s0").get(0).message().circuit(), IsupMessage.NORMAL_CLEARING));
         front.run(10);
-        assertEquals(0, front.trunks("s0").busy());
+        assertEquals(0, front.trunks("s0").busyCircuits());
         assertEquals(0, front.router().open());
         assertEquals("stands s0", only());
     }
@@ -176,9 +176,9 @@
         assertEquals(
                 1,
                 front.sent.stream()
-                        .filter(s -> s.message().type() == Isup.Type.REL)
+                        .filter(s -> s.message().type() == IsupMessage.Type.REL)
                         .count());
-        front.from("s0", Isup.of(setUp.message().circuit(), Isup.Type.ANM));
+        front.from("s0", IsupMessage.of(setUp.message().circuit(), IsupMessage.Type.ANM));
         front.run(500);
         assertEquals(1, front.replies.size());
     }
@@ -247,7 +247,8 @@
         Sent early = front.setUps(null).get(0);
         double stallFrom = front.now;
         front.later(
-                1_950, () -> front.from(early.server(), Isup.of(early.message().circuit(), Isup.Type.ANM)));
+                1_950,
+                () -> front.from(early.server(), IsupMessage.of(early.message().circuit(), IsupMessage.Type.ANM)));
         for (int i = 0; i < 50; i++) {
             int id = 100 + i;
             front.later(i * 39, () -> front.ask("late", id, String.format("598211%08d", id)));
@@ -271,12 +272,13 @@
         front.ask("early", 1, SIGNING);
         front.run(1_000);
         Sent setUp = front.setUps(null).get(0);
-        front.later(1_900, () -> front.from("s0", Isup.of(setUp.message().circuit(), Isup.Type.ANM)));
+        front.later(1_900, () -> front.from("s0", IsupMessage.of(setUp.message().circuit(), IsupMessage.Type.ANM)));
         front.stall(2_000);
         front.run(100);
         assertEquals("failed", only());
         assertEquals(
-                Isup.Type.REL, front.sent.get(front.sent.size() - 1).message().type());
+                IsupMessage.Type.REL,
+                front.sent.get(front.sent.size() - 1).message().type());
     }
 
     /** Two thousand callers in one turn: one final answer each, in time, and never two attempts out. */
@@ -391,9 +393,9 @@
         Map<String, Double> releasedAt = new HashMap<>();
         double least = Double.MAX_VALUE;
         for (Sent s : front.sent) {
-            if (s.message().type() == Isup.Type.REL && s.server().equals("s0")) {
+            if (s.message().type() == IsupMessage.Type.REL && s.server().equals("s0")) {
                 releasedAt.put(numbers.get(s.message().circuit()), s.at());
-            } else if (s.message().type() == Isup.Type.IAM) {
+            } else if (s.message().type() == IsupMessage.Type.IAM) {
                 if (s.server().equals("s0")) {
                     numbers.put(s.message().circuit(), SimFront.number(s));
                 }
--- a/src/test/java/damsonseam/sim/SimFront.java
+++ b/src/test/java/damsonseam/sim/SimFront.java
@@ -18,19 +18,19 @@
 import damsonseam.core.RouterSettings;
 import damsonseam.core.Story;
 import damsonseam.core.Timers;
-import damsonseam.dns.Authorities;
+import damsonseam.dns.AuthoritySelector;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.DnsFormatException;
 import damsonseam.dns.E164Name;
-import damsonseam.dns.EnumReplies;
+import damsonseam.dns.EnumResponses;
 import damsonseam.dns.EnumService;
 import damsonseam.dns.LookupCache;
 import damsonseam.dns.Resolver;
-import damsonseam.dns.Transactions;
-import damsonseam.ss7.Digits;
-import damsonseam.ss7.Isup;
+import damsonseam.dns.TransactionTable;
+import damsonseam.ss7.CalledPartyNumber;
+import damsonseam.ss7.IsupMessage;
 import damsonseam.ss7.IsupMessages;
-import damsonseam.ss7.SignallingException;
+import damsonseam.ss7.SignallingProtocolException;
 import damsonseam.ss7.TrunkGroup;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -57,7 +57,7 @@
  */
 public final class SimFront implements Ports.Trunks, Ports.Directory {
     /** The domain of the numbers. */
-    public static final Name SUFFIX = E164Name.suffix("e164.example.org");
+    public static final Name SUFFIX = E164Name.parseSuffix("e164.example.org");
     /** How long a release complete is awaited, in milliseconds. */
     public static final double RELEASE_WAIT = 100;
 
@@ -69,7 +69,7 @@
     }
 
     /** A message to a calculator. */
-    public record Sent(double at, String server, Isup message) {}
+    public record Sent(double at, String server, IsupMessage message) {}
 
     /** An answer to a caller. */
     public record Reply(double at, Object to, Message message, byte[] octets) {}
@@ -119,7 +119,7 @@
                 new CallTable(mostCalls, 1),
                 timers,
                 (call, number, deadline) -> {
-                    resolver.clock(now);
+                    resolver.advanceClock(now);
                     resolver.lookUp(call, number, deadline);
                 },
                 this,
@@ -128,29 +128,31 @@
         resolver = new Resolver(
                 SUFFIX,
                 new LookupCache(1_000, 60_000),
-                new Authorities(1),
+                new AuthoritySelector(1),
                 timers,
                 5,
                 new Resolver.Limits(4, 6, 50_000, 300),
                 new Resolver.Output() {
                     @Override
-                    public void udp(int authority, int socket, byte[] question) {
+                    public void sendUdp(int authority, int socket, byte[] question) {
                         if (dnsDelay >= 0) {
-                            later(dnsDelay, () -> resolver.answer(now, authority, socket, found(question)));
+                            later(dnsDelay, () -> resolver.onResponse(now, authority, socket, found(question)));
                         }
                     }
 
                     @Override
-                    public void tcp(int authority, byte[] question) {
-                        later(dnsDelay, () -> resolver.answer(now, authority, Resolver.STREAM, found(question)));
+                    public void sendTcp(int authority, byte[] question) {
+                        later(
+                                dnsDelay,
+                                () -> resolver.onResponse(now, authority, Resolver.TCP_SOCKET, found(question)));
                     }
 
                     @Override
-                    public void lookedUp(double at, long call, Candidates candidates) {
+                    public void onLookupComplete(double at, long call, Candidates candidates) {
                         router.lookedUp(at, call, candidates);
                     }
                 });
-        service = new EnumService(SUFFIX, s.plan(), router, new Transactions(200_000, 3_000), 50);
+        service = new EnumService(SUFFIX, s.plan(), router, new TransactionTable(200_000, 3_000), 50);
         List<Pool.Server> list = new ArrayList<>();
         for (String server : servers) {
             list.add(server(server, list.size(), State.RUNNING, OptionalDouble.empty()));
@@ -185,21 +187,21 @@
     }
 
     private TrunkGroup group(String server) {
-        TrunkGroup group =
-                new TrunkGroup(new Circuits(4_000, true), timers, TrunkGroup.Times.Q764, 1, new TrunkGroup.Output() {
+        TrunkGroup group = new TrunkGroup(
+                new Circuits(4_000, true), timers, TrunkGroup.TimerValues.Q764, 1, new TrunkGroup.Output() {
                     @Override
-                    public void send(Isup message) {
+                    public void send(IsupMessage message) {
                         sent.add(new Sent(now, server, message));
                         react(server, message);
                     }
 
                     @Override
-                    public void stands(double at, long call, int attempt, Report report) {
+                    public void onAnswered(double at, long call, int attempt, Report report) {
                         router.stands(at, call, attempt, report);
                     }
 
                     @Override
-                    public void ended(
+                    public void onOutcome(
                             double at,
                             long call,
                             int attempt,
@@ -211,23 +213,26 @@
                     }
 
                     @Override
-                    public void released(double at, long call, int attempt) {
+                    public void onReleaseComplete(double at, long call, int attempt) {
                         router.released(at, call, attempt);
                     }
                 });
-        group.connectionUp(now);
+        group.onConnectionUp(now);
         return group;
     }
 
-    private void react(String server, Isup message) {
+    private void react(String server, IsupMessage message) {
         Mode mode = modes.getOrDefault(server, Mode.ANSWER);
         int circuit = message.circuit();
-        if (message.type() == Isup.Type.IAM && mode == Mode.ANSWER) {
-            later(answerDelay, () -> from(server, Isup.of(circuit, Isup.Type.ANM)));
-        } else if (message.type() == Isup.Type.IAM && mode == Mode.TURN_AWAY) {
-            later(answerDelay, () -> from(server, IsupMessages.release(circuit, Isup.SWITCH_CONGESTION)));
-        } else if ((message.type() == Isup.Type.REL || message.type() == Isup.Type.RSC) && !losesCompletes) {
-            later(completeDelay, () -> from(server, Isup.of(circuit, Isup.Type.RLC)));
+        if (message.type() == IsupMessage.Type.IAM && mode == Mode.ANSWER) {
+            later(answerDelay, () -> from(server, IsupMessage.of(circuit, IsupMessage.Type.ANM)));
+        } else if (message.type() == IsupMessage.Type.IAM && mode == Mode.TURN_AWAY) {
+            later(
+                    answerDelay,
+                    () -> from(server, IsupMessages.release(circuit, IsupMessage.SWITCHING_EQUIPMENT_CONGESTION)));
+        } else if ((message.type() == IsupMessage.Type.REL || message.type() == IsupMessage.Type.RSC)
+                && !losesCompletes) {
+            later(completeDelay, () -> from(server, IsupMessage.of(circuit, IsupMessage.Type.RLC)));
         }
     }
 
@@ -239,27 +244,28 @@
     }
 
     /** A message comes from a calculator. */
-    public void from(String server, Isup message) {
-        groups.get(server).received(now, message);
+    public void from(String server, IsupMessage message) {
+        groups.get(server).onMessage(now, message);
     }
 
     /** A caller asks for a number now. */
     public void ask(Object source, int id, String number) {
         Message query = new Message(id);
-        query.addRecord(Record.newRecord(E164Name.of(number, SUFFIX), Type.NAPTR, DClass.IN), Section.QUESTION);
-        query.addRecord(new OPTRecord(DnsCodec.SAFE_UDP, 0, 0), Section.ADDITIONAL);
+        query.addRecord(Record.newRecord(E164Name.toName(number, SUFFIX), Type.NAPTR, DClass.IN), Section.QUESTION);
+        query.addRecord(new OPTRecord(DnsCodec.MAX_UDP_RESPONSE_BYTES, 0, 0), Section.ADDITIONAL);
         octets(source, query.toWire());
     }
 
     /** A caller sends octets. */
     public void octets(Object source, byte[] octets) {
-        service.question(now, source, false, router.turnAge(now), octets, EnumService.Gate.OPEN, answer -> {
-            try {
-                replies.add(new Reply(now, source, DnsCodec.decode(answer), answer));
-            } catch (DnsFormatException e) {
-                throw new AssertionError("the front sent what is no message", e);
-            }
-        });
+        service.handleQuery(
+                now, source, false, router.turnAge(now), octets, EnumService.AdmissionControl.ADMIT_ALL, answer -> {
+                    try {
+                        replies.add(new Reply(now, source, DnsCodec.decode(answer), answer));
+                    } catch (DnsFormatException e) {
+                        throw new AssertionError("the front sent what is no message", e);
+                    }
+                });
     }
 
     /** News of the directory. */
@@ -270,7 +276,7 @@
     /** A connection to a calculator is lost; it is not made again. */
     public void cut(String server) {
         unreachable.add(server);
-        groups.get(server).connectionLost(now);
+        groups.get(server).onConnectionLost(now);
     }
 
     /** Time passes, a turn each millisecond. */
@@ -295,7 +301,7 @@
             beatAt = now;
             router.beat(now);
         }
-        resolver.deliver(now);
+        resolver.deliverKnownResults(now);
         router.settle(now);
     }
 
@@ -313,8 +319,8 @@
         if (opt != null) {
             for (var option : opt.getOptions(15)) {
                 int code = ((ExtendedErrorCodeOption) option).getErrorCode();
-                if (code == EnumReplies.EDE_REFUSED || code == EnumReplies.EDE_FAILED) {
-                    return code == EnumReplies.EDE_REFUSED ? "refused" : "failed";
+                if (code == EnumResponses.EDE_REFUSED || code == EnumResponses.EDE_FAILED) {
+                    return code == EnumResponses.EDE_REFUSED ? "refused" : "failed";
                 }
             }
         }
@@ -324,7 +330,7 @@
     /** Set-ups sent, to one server or with null to all. */
     public List<Sent> setUps(String server) {
         return sent.stream()
-                .filter(s -> s.message().type() == Isup.Type.IAM
+                .filter(s -> s.message().type() == IsupMessage.Type.IAM
                         && (server == null || s.server().equals(server)))
                 .toList();
     }
@@ -332,8 +338,8 @@
     /** The number that a set-up called. */
     public static String number(Sent setUp) {
         try {
-            return Digits.decode(setUp.message().value(Isup.CALLED_NUMBER));
-        } catch (SignallingException e) {
+            return CalledPartyNumber.decode(setUp.message().parameterValue(IsupMessage.CALLED_PARTY_NUMBER));
+        } catch (SignallingProtocolException e) {
             throw new AssertionError(e);
         }
     }
@@ -357,7 +363,7 @@
             reply.getHeader().setFlag(Flags.QR);
             reply.getHeader().setFlag(Flags.AA);
             reply.addRecord(query.getQuestion(), Section.QUESTION);
-            int first = E164Name.number(asked, SUFFIX).charAt(5) - '0';
+            int first = E164Name.toNumber(asked, SUFFIX).charAt(5) - '0';
             for (int i = 0; i < groups.size(); i++) {
                 String host = "s" + (first + i) % groups.size();
                 reply.addRecord(
@@ -383,7 +389,12 @@
 
     @Override
     public double release(double at, String server, long call, int attempt, boolean timedOut) {
-        groups.get(server).release(at, call, attempt, timedOut ? Isup.TIMER_EXPIRED : Isup.NORMAL_CLEARING);
+        groups.get(server)
+                .release(
+                        at,
+                        call,
+                        attempt,
+                        timedOut ? IsupMessage.RECOVERY_ON_TIMER_EXPIRY : IsupMessage.NORMAL_CLEARING);
         return now;
     }
 
--- a/src/test/java/damsonseam/ss7/AspSessionTest.java
+++ b/src/test/java/damsonseam/ss7/AspSessionTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import damsonseam.core.Timers;
-import damsonseam.ss7.M3ua.Kind;
+import damsonseam.ss7.M3uaMessage.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -14,12 +14,12 @@
 class AspSessionTest {
     private static final int FAR = 1000;
     private final Timers timers = new Timers(0);
-    private final List<M3ua> sent = new ArrayList<>();
+    private final List<M3uaMessage> sent = new ArrayList<>();
     private final List<String> told = new ArrayList<>();
     private final AspSession session = new AspSession(
             new AspSession.Output() {
                 @Override
-                public void send(M3ua message) {
+                public void send(M3uaMessage message) {
                     sent.add(message);
                 }
 
@@ -29,22 +29,22 @@
                 }
 
                 @Override
-                public void active() {
+                public void onActive() {
                     told.add("active");
                 }
 
                 @Override
-                public void destination(boolean reachable, int level) {
+                public void onDestinationState(boolean reachable, int level) {
                     told.add("destination " + reachable + " " + level);
                 }
 
                 @Override
-                public void data(ProtocolData data) {
+                public void onData(ProtocolData data) {
                     told.add("data " + data.opc());
                 }
 
                 @Override
-                public void probed(boolean answered, double delay) {
+                public void onProbeResult(boolean answered, double delay) {
                     told.add("probed " + answered);
                 }
             },
@@ -58,37 +58,37 @@
         return sent.get(sent.size() - 1).kind();
     }
 
-    private void activate() throws SignallingException {
-        session.connected(0);
-        session.received(1, M3ua.of(Kind.ASPUP_ACK));
-        session.received(2, M3ua.of(Kind.ASPAC_ACK));
+    private void activate() throws SignallingProtocolException {
+        session.onConnected(0);
+        session.onMessage(1, M3uaMessage.of(Kind.ASPUP_ACK));
+        session.onMessage(2, M3uaMessage.of(Kind.ASPAC_ACK));
     }
 
     @Test
-    void goesUpThenActiveThenCarriesTraffic() throws SignallingException {
-        session.connected(0);
+    void goesUpThenActiveThenCarriesTraffic() throws SignallingProtocolException {
+        session.onConnected(0);
         assertEquals(Kind.ASPUP, lastSent());
-        session.received(1, M3ua.of(Kind.ASPUP_ACK));
+        session.onMessage(1, M3uaMessage.of(Kind.ASPUP_ACK));
         assertEquals(Kind.ASPAC, lastSent());
-        assertFalse(session.usable());
-        session.received(2, M3ua.of(Kind.ASPAC_ACK));
-        assertTrue(session.usable());
+        assertFalse(session.isUsable());
+        session.onMessage(2, M3uaMessage.of(Kind.ASPAC_ACK));
+        assertTrue(session.isUsable());
         assertEquals(List.of("active"), told);
     }
 
     @Test
     void dataBeforeItIsActiveIsAnUnexpectedMessage() {
-        session.connected(0);
-        M3ua data = new ProtocolData(FAR, 5, 0, new byte[] {1, 0, 9}).message();
+        session.onConnected(0);
+        M3uaMessage data = new ProtocolData(FAR, 5, 0, new byte[] {1, 0, 9}).toMessage();
         assertEquals(
-                M3ua.UNEXPECTED_MESSAGE,
-                assertThrows(SignallingException.class, () -> session.received(1, data))
+                M3uaMessage.UNEXPECTED_MESSAGE,
+                assertThrows(SignallingProtocolException.class, () -> session.onMessage(1, data))
                         .code());
     }
 
     @Test
     void anAcknowledgementThatNeverComesIsAskedForAgainAndThenGivenUp() {
-        session.connected(0);
+        session.onConnected(0);
         for (double now = 0; now <= 9_000; now += 50) {
             timers.poll(now);
         }
@@ -97,43 +97,43 @@
     }
 
     @Test
-    void whatTheFarEndSaysOfItsDestinationIsFollowed() throws SignallingException {
+    void whatTheFarEndSaysOfItsDestinationIsFollowed() throws SignallingProtocolException {
         activate();
-        session.received(3, M3ua.destination(Kind.DUNA, FAR));
-        assertFalse(session.usable());
-        session.received(4, M3ua.destination(Kind.DAVA, FAR));
-        assertTrue(session.usable());
-        session.received(5, M3ua.destination(Kind.SCON, FAR, M3ua.congestion(2)));
-        assertEquals(2, session.congestion());
-        assertTrue(session.usable());
-        session.received(6, M3ua.destination(Kind.DUNA, FAR + 1));
-        assertTrue(session.usable());
+        session.onMessage(3, M3uaMessage.destinationState(Kind.DUNA, FAR));
+        assertFalse(session.isUsable());
+        session.onMessage(4, M3uaMessage.destinationState(Kind.DAVA, FAR));
+        assertTrue(session.isUsable());
+        session.onMessage(5, M3uaMessage.destinationState(Kind.SCON, FAR, M3uaMessage.congestionIndications(2)));
+        assertEquals(2, session.congestionLevel());
+        assertTrue(session.isUsable());
+        session.onMessage(6, M3uaMessage.destinationState(Kind.DUNA, FAR + 1));
+        assertTrue(session.isUsable());
     }
 
     @Test
-    void aMaskCoversItsPointCodes() throws SignallingException {
+    void aMaskCoversItsPointCodes() throws SignallingProtocolException {
         activate();
-        session.received(3, M3ua.destination(Kind.DUNA, 0x08000000 | (FAR & ~0xff)));
-        assertFalse(session.usable());
+        session.onMessage(3, M3uaMessage.destinationState(Kind.DUNA, 0x08000000 | (FAR & ~0xff)));
+        assertFalse(session.isUsable());
     }
 
     @Test
-    void aProbeIsAnsweredOnceOrHasFailed() throws SignallingException {
+    void aProbeIsAnsweredOnceOrHasFailed() throws SignallingProtocolException {
         activate();
-        session.probe(10);
-        M3ua beat = sent.get(sent.size() - 1);
-        session.received(20, new M3ua(Kind.BEAT_ACK, beat.parameters()));
-        session.received(21, new M3ua(Kind.BEAT_ACK, beat.parameters()));
-        session.probe(30);
+        session.sendProbe(10);
+        M3uaMessage beat = sent.get(sent.size() - 1);
+        session.onMessage(20, new M3uaMessage(Kind.BEAT_ACK, beat.parameters()));
+        session.onMessage(21, new M3uaMessage(Kind.BEAT_ACK, beat.parameters()));
+        session.sendProbe(30);
         timers.poll(300);
         assertEquals(List.of("active", "probed true", "probed false"), told);
     }
 
     @Test
-    void aClosedConnectionFailsTheProbesThatAreOut() throws SignallingException {
+    void aClosedConnectionFailsTheProbesThatAreOut() throws SignallingProtocolException {
         activate();
-        session.probe(10);
-        session.closed(15);
+        session.sendProbe(10);
+        session.onClosed(15);
         assertEquals("probed false", told.get(1));
         timers.poll(2_000);
         assertEquals(2, told.size());
@@ -141,7 +141,7 @@
 
     /** Guards against a far end that is gone without a reset: heartbeats that nothing answers. */
     @Test
-    void aSilentConnectionIsClosedAfterTwoHeartbeats() throws SignallingException {
+    void aSilentConnectionIsClosedAfterTwoHeartbeats() throws SignallingProtocolException {
         activate();
         for (double now = 10; now <= 4_000; now += 50) {
             timers.poll(now);
@@ -150,10 +150,11 @@
     }
 
     @Test
-    void aHeartbeatIsGivenBackAsItCame() throws SignallingException {
+    void aHeartbeatIsGivenBackAsItCame() throws SignallingProtocolException {
         activate();
-        M3ua beat = M3ua.of(Kind.BEAT, new M3ua.Parameter(M3ua.HEARTBEAT_DATA, new byte[] {1, 2, 3}));
-        session.received(3, beat);
+        M3uaMessage beat =
+                M3uaMessage.of(Kind.BEAT, new M3uaMessage.Parameter(M3uaMessage.HEARTBEAT_DATA, new byte[] {1, 2, 3}));
+        session.onMessage(3, beat);
         assertEquals(Kind.BEAT_ACK, lastSent());
         assertEquals(beat.parameters(), sent.get(sent.size() - 1).parameters());
     }
--- a/src/test/java/damsonseam/ss7/TrunkGroupTest.java
+++ b/src/test/java/damsonseam/ss7/TrunkGroupTest.java
@@ -21,7 +21,7 @@
 class TrunkGroupTest {
     private static final String NUMBER = "59821000000001";
     private final Timers timers = new Timers(0);
-    private final List<Isup> sent = new ArrayList<>();
+    private final List<IsupMessage> sent = new ArrayList<>();
     private final List<String> told = new ArrayList<>();
     private final List<String> releases = new ArrayList<>();
     private final TrunkGroup group = group(4, true);
@@ -30,21 +30,21 @@
         TrunkGroup made = new TrunkGroup(
                 new Circuits(size, controlsEven),
                 timers,
-                new TrunkGroup.Times(1_000, 5_000, 2_000),
+                new TrunkGroup.TimerValues(1_000, 5_000, 2_000),
                 9,
                 new TrunkGroup.Output() {
                     @Override
-                    public void send(Isup message) {
+                    public void send(IsupMessage message) {
                         sent.add(message);
                     }
 
                     @Override
-                    public void stands(double now, long call, int attempt, Report report) {
+                    public void onAnswered(double now, long call, int attempt, Report report) {
                         told.add("stands " + call + "/" + attempt);
                     }
 
                     @Override
-                    public void ended(
+                    public void onOutcome(
                             double now,
                             long call,
                             int attempt,
@@ -56,15 +56,15 @@
                     }
 
                     @Override
-                    public void released(double now, long call, int attempt) {
+                    public void onReleaseComplete(double now, long call, int attempt) {
                         releases.add(call + "/" + attempt);
                     }
                 });
-        made.connectionUp(0);
+        made.onConnectionUp(0);
         return made;
     }
 
-    private Isup last() {
+    private IsupMessage last() {
         return sent.get(sent.size() - 1);
     }
 
@@ -77,27 +77,32 @@
         return last().circuit();
     }
 
-    private void from(int circuit, Isup.Type type) {
-        group.received(1, Isup.of(circuit, type));
+    private void from(int circuit, IsupMessage.Type type) {
+        group.onMessage(1, IsupMessage.of(circuit, type));
     }
 
     @Test
     void aCircuitIsTakenFromItsSetUpUntilItsReleaseIsComplete() {
         int circuit = setUp(1);
-        from(circuit, Isup.Type.ANM);
-        group.received(2, IsupMessages.release(circuit, Isup.NORMAL_CLEARING));
+        from(circuit, IsupMessage.Type.ANM);
+        group.onMessage(2, IsupMessages.release(circuit, IsupMessage.NORMAL_CLEARING));
         assertEquals(List.of("stands 1/0", "ended 1/0 COMPLETED NONE"), told);
         assertEquals("RLC " + circuit, lastSent());
-        assertEquals(4, group.free());
+        assertEquals(4, group.freeCircuits());
     }
 
     @Test
     void causesBecomeTheModulesResults() {
-        int[][] causes = {{Isup.NO_CIRCUIT}, {Isup.SWITCH_CONGESTION}, {Isup.USER_BUSY}, {Isup.TEMPORARY_FAILURE}};
+        int[][] causes = {
+            {IsupMessage.NO_CIRCUIT_AVAILABLE},
+            {IsupMessage.SWITCHING_EQUIPMENT_CONGESTION},
+            {IsupMessage.USER_BUSY},
+            {IsupMessage.TEMPORARY_FAILURE}
+        };
         String[] results = {"FULL NO_LINE", "FULL PROCESSOR_FULL", "ERROR NUMBER_BUSY", "ERROR NONE"};
         for (int i = 0; i < causes.length; i++) {
             int circuit = setUp(i);
-            group.received(2, IsupMessages.release(circuit, causes[i][0]));
+            group.onMessage(2, IsupMessages.release(circuit, causes[i][0]));
             assertEquals("ended " + i + "/0 " + results[i], told.get(i));
         }
     }
@@ -105,9 +110,14 @@
     @Test
     void aCongestionLevelMakesAFaultANoticeOfPressureButNotAShortLine() {
         int circuit = setUp(1);
-        group.received(2, IsupMessages.release(circuit, Isup.TEMPORARY_FAILURE, IsupMessages.congestion(1)));
+        group.onMessage(
+                2,
+                IsupMessages.release(circuit, IsupMessage.TEMPORARY_FAILURE, IsupMessages.automaticCongestionLevel(1)));
         circuit = setUp(2);
-        group.received(2, IsupMessages.release(circuit, Isup.NO_CIRCUIT, IsupMessages.congestion(2)));
+        group.onMessage(
+                2,
+                IsupMessages.release(
+                        circuit, IsupMessage.NO_CIRCUIT_AVAILABLE, IsupMessages.automaticCongestionLevel(2)));
         assertEquals(List.of("ended 1/0 FULL PROCESSOR_FULL", "ended 2/0 FULL NO_LINE"), told);
     }
 
@@ -115,21 +125,21 @@
     @Test
     void anAnswerAfterOurReleaseIsPassedOver() {
         int circuit = setUp(1);
-        group.release(5, 1, 0, Isup.TIMER_EXPIRED);
+        group.release(5, 1, 0, IsupMessage.RECOVERY_ON_TIMER_EXPIRY);
         assertEquals("REL " + circuit, lastSent());
-        from(circuit, Isup.Type.ANM);
+        from(circuit, IsupMessage.Type.ANM);
         assertTrue(told.isEmpty());
         assertEquals(1, group.lateAnswers());
-        assertEquals(3, group.free());
-        from(circuit, Isup.Type.RLC);
-        assertEquals(4, group.free());
+        assertEquals(3, group.freeCircuits());
+        from(circuit, IsupMessage.Type.RLC);
+        assertEquals(4, group.freeCircuits());
     }
 
     /** Hard case: the RLC is lost. The release goes out again, then the circuit is reset, then it is idle. */
     @Test
     void aLostReleaseCompleteIsAskedForAgainAndThenReset() {
         int circuit = setUp(1);
-        group.release(0, 1, 0, Isup.NORMAL_CLEARING);
+        group.release(0, 1, 0, IsupMessage.NORMAL_CLEARING);
         int before = sent.size();
         timers.poll(1_010);
         assertEquals("REL " + circuit, lastSent());
@@ -138,21 +148,21 @@
             timers.poll(now);
         }
         assertEquals("RSC " + circuit, lastSent());
-        assertEquals(3, group.free());
-        from(circuit, Isup.Type.RLC);
-        assertEquals(4, group.free());
+        assertEquals(3, group.freeCircuits());
+        from(circuit, IsupMessage.Type.RLC);
+        assertEquals(4, group.freeCircuits());
         assertEquals(0, timers.size());
     }
 
     @Test
     void releasesThatCrossLeaveTheCircuitIdle() {
         int circuit = setUp(1);
-        group.release(0, 1, 0, Isup.NORMAL_CLEARING);
-        group.received(1, IsupMessages.release(circuit, Isup.USER_BUSY));
+        group.release(0, 1, 0, IsupMessage.NORMAL_CLEARING);
+        group.onMessage(1, IsupMessages.release(circuit, IsupMessage.USER_BUSY));
         assertTrue(told.isEmpty());
-        assertEquals(4, group.free());
-        from(circuit, Isup.Type.RLC);
-        assertEquals(4, group.free());
+        assertEquals(4, group.freeCircuits());
+        from(circuit, IsupMessage.Type.RLC);
+        assertEquals(4, group.freeCircuits());
     }
 
     /** Hard case: the connection dies with set-ups out. Each is told once, and its circuit is reset first. */
@@ -160,19 +170,20 @@
     void aLostConnectionEndsEachAttemptOnceAndResetsItsCircuits() {
         int one = setUp(1);
         int two = setUp(2);
-        from(two, Isup.Type.ANM);
+        from(two, IsupMessage.Type.ANM);
         told.clear();
-        group.connectionLost(10);
+        group.onConnectionLost(10);
         assertEquals(2, told.size());
         assertTrue(told.stream().allMatch(t -> t.endsWith("RESET NONE")));
-        assertEquals(2, group.free());
+        assertEquals(2, group.freeCircuits());
         sent.clear();
-        group.connectionUp(500);
-        assertEquals(2, sent.stream().filter(m -> m.type() == Isup.Type.RSC).count());
-        assertEquals(2, group.free());
-        from(one, Isup.Type.RLC);
-        from(two, Isup.Type.RLC);
-        assertEquals(4, group.free());
+        group.onConnectionUp(500);
+        assertEquals(
+                2, sent.stream().filter(m -> m.type() == IsupMessage.Type.RSC).count());
+        assertEquals(2, group.freeCircuits());
+        from(one, IsupMessage.Type.RLC);
+        from(two, IsupMessage.Type.RLC);
+        assertEquals(4, group.freeCircuits());
     }
 
     @Test
@@ -181,15 +192,15 @@
         for (int call = 0; call < 150; call++) {
             large.setUp(call, 0, NUMBER, 10);
         }
-        large.connectionLost(10);
+        large.onConnectionLost(10);
         sent.clear();
-        large.connectionUp(20);
+        large.onConnectionUp(20);
         assertEquals(32, sent.size());
         for (int i = 0; i < sent.size(); i++) {
-            large.received(30, Isup.of(sent.get(i).circuit(), Isup.Type.RLC));
+            large.onMessage(30, IsupMessage.of(sent.get(i).circuit(), IsupMessage.Type.RLC));
         }
         assertEquals(150, sent.size());
-        assertEquals(200, large.free());
+        assertEquals(200, large.freeCircuits());
     }
 
     /** Both ends seize: the end that controls the circuit goes on, the other gives way (Q.764 2.9.1.4). */
@@ -197,12 +208,12 @@
     void dualSeizureIsWonByTheControllingEnd() {
         int own = setUp(1);
         assertEquals(0, own % 2);
-        group.received(1, IsupMessages.setUp(own, NUMBER, 10, 5, 1));
+        group.onMessage(1, IsupMessages.initialAddress(own, NUMBER, 10, 5, 1));
         assertTrue(told.isEmpty());
         setUp(2);
         int theirs = setUp(3);
         assertEquals(1, theirs % 2);
-        group.received(1, IsupMessages.setUp(theirs, NUMBER, 10, 6, 1));
+        group.onMessage(1, IsupMessages.initialAddress(theirs, NUMBER, 10, 6, 1));
         assertEquals(List.of("ended 3/0 FULL NO_LINE"), told);
         assertEquals("REL " + theirs, lastSent());
         assertEquals(2, group.dualSeizures());
@@ -211,11 +222,11 @@
     @Test
     void theFarEndsResetCutsTheCallAndFreesTheCircuit() {
         int circuit = setUp(1);
-        from(circuit, Isup.Type.ANM);
-        from(circuit, Isup.Type.RSC);
+        from(circuit, IsupMessage.Type.ANM);
+        from(circuit, IsupMessage.Type.RSC);
         assertEquals("ended 1/0 RESET NONE", told.get(1));
         assertEquals("RLC " + circuit, lastSent());
-        assertEquals(4, group.free());
+        assertEquals(4, group.freeCircuits());
     }
 
     @Test
@@ -223,19 +234,23 @@
         setUp(1);
         setUp(2);
         sent.clear();
-        group.received(2, Isup.of(1, Isup.Type.GRS, new Isup.Parameter(Isup.RANGE_AND_STATUS, new byte[] {3})));
+        group.onMessage(
+                2,
+                IsupMessage.of(
+                        1, IsupMessage.Type.GRS, new IsupMessage.Parameter(IsupMessage.RANGE_AND_STATUS, new byte[] {3
+                        })));
         assertEquals(2, told.size());
         assertEquals("GRA 1", lastSent());
-        assertEquals(4, group.free());
+        assertEquals(4, group.freeCircuits());
     }
 
     @Test
     void blockedCircuitsAreNotTaken() {
         for (int c = 1; c <= 4; c++) {
-            from(c, Isup.Type.BLO);
+            from(c, IsupMessage.Type.BLO);
         }
         assertFalse(group.setUp(1, 0, NUMBER, 10));
-        from(3, Isup.Type.UBL);
+        from(3, IsupMessage.Type.UBL);
         assertEquals(3, setUp(1));
     }
 
@@ -246,30 +261,30 @@
         long call = 0;
         for (int event : events) {
             int circuit = event % 4 + 1;
-            Isup.Type type = Isup.Type.values()[event / 4 % Isup.Type.values().length];
+            IsupMessage.Type type = IsupMessage.Type.values()[event / 4 % IsupMessage.Type.values().length];
             switch (event % 5) {
                 case 0 -> t.group.setUp(call++, 0, NUMBER, 10);
-                case 1 -> t.group.release(1, event % 3, 0, Isup.NORMAL_CLEARING);
-                default -> t.group.received(1, message(circuit, type));
+                case 1 -> t.group.release(1, event % 3, 0, IsupMessage.NORMAL_CLEARING);
+                default -> t.group.onMessage(1, message(circuit, type));
             }
         }
         for (int c = 1; c <= 4; c++) {
-            t.group.received(2, Isup.of(c, Isup.Type.UBL));
-            t.group.received(2, Isup.of(c, Isup.Type.RSC));
-            t.group.received(2, Isup.of(c, Isup.Type.RLC));
+            t.group.onMessage(2, IsupMessage.of(c, IsupMessage.Type.UBL));
+            t.group.onMessage(2, IsupMessage.of(c, IsupMessage.Type.RSC));
+            t.group.onMessage(2, IsupMessage.of(c, IsupMessage.Type.RLC));
         }
-        assertEquals(4, t.group.free());
-        assertEquals(0, t.group.busy());
+        assertEquals(4, t.group.freeCircuits());
+        assertEquals(0, t.group.busyCircuits());
         long ends =
                 t.told.stream().filter(s -> s.startsWith("ended")).distinct().count();
         assertEquals(ends, t.told.stream().filter(s -> s.startsWith("ended")).count());
     }
 
-    private static Isup message(int circuit, Isup.Type type) {
+    private static IsupMessage message(int circuit, IsupMessage.Type type) {
         return switch (type) {
-            case IAM -> IsupMessages.setUp(circuit, NUMBER, 10, 1, 1);
-            case REL, CFN -> IsupMessages.release(circuit, Isup.NORMAL_CLEARING);
-            default -> Isup.of(circuit, type);
+            case IAM -> IsupMessages.initialAddress(circuit, NUMBER, 10, 1, 1);
+            case REL, CFN -> IsupMessages.release(circuit, IsupMessage.NORMAL_CLEARING);
+            default -> IsupMessage.of(circuit, type);
         };
     }
 }
