--- a/src/main/java/damsonseam/dns/AuthoritySelector.java
+++ b/src/main/java/damsonseam/dns/AuthoritySelector.java
@@ -3,114 +3,130 @@
 import java.util.Arrays;
 
 /**
- * Which authority to ask next and how long to wait for it, from what its answers and silences told. The wait is
- * the smoothed round trip and four deviations (RFC 6298 2), doubled for each silence in a row; an authority that
- * is lame or silent is asked last, and now and then, until it answers again.
+ * Selects the authoritative name server for the next query and the timeout of that query, from the round-trip times
+ * and timeouts seen so far. The timeout is the smoothed round-trip time plus four times its deviation (RFC 6298
+ * section 2), doubled for each consecutive timeout. An authority that is lame or does not respond is selected last,
+ * apart from an occasional query that finds out whether it is back.
+ *
+ * <p>Not thread-safe; it belongs to the thread of its {@link Resolver}. Times are in milliseconds.
  */
 public final class AuthoritySelector {
-    /** Waits lie between these, in milliseconds: a caller waits seconds, a loopback answers in microseconds. */
-    private static final double LEAST_WAIT = 20;
+    /** Bounds of the timeout: callers wait for seconds, while an authority on loopback responds in microseconds. */
+    private static final double MIN_TIMEOUT_MS = 20;
 
-    private static final double MOST_WAIT = 1_000;
-    /** The wait before anything is known of an authority: far lower than callers bear, above a busy link's. */
-    private static final double FIRST_WAIT = 200;
-    /** How long an authority stays last choice after it was lame. */
-    private static final double LAME_SPAN = 5_000;
-    /** Silences in a row after which an authority counts as out, and how often it is tried all the same. */
-    private static final int OUT_AFTER = 3;
+    private static final double MAX_TIMEOUT_MS = 1_000;
+    /** The timeout without a round-trip sample: far below callers' patience, above the delay of a busy link. */
+    private static final double INITIAL_TIMEOUT_MS = 200;
+    /** How long an authority remains the last choice after a lame response. */
+    private static final double LAME_PERIOD_MS = 5_000;
+    /** Consecutive timeouts after which an authority counts as unavailable. */
+    private static final int MAX_CONSECUTIVE_TIMEOUTS = 3;
 
-    private static final double RETRY_SPAN = 1_000;
-    private static final int MOST_DOUBLINGS = 6;
+    /** Interval at which an unavailable authority gets a query nevertheless. */
+    private static final double RETRY_INTERVAL_MS = 1_000;
+
+    private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
     private static final class Health {
-        double smoothed = Double.NaN;
-        double deviation;
-        int silences;
+        double smoothedRttMs = Double.NaN;
+        double rttDeviationMs;
+        int consecutiveTimeouts;
         double lameUntil = Double.NEGATIVE_INFINITY;
-        double triedAt = Double.NEGATIVE_INFINITY;
+        double lastQueryAt = Double.NEGATIVE_INFINITY;
     }
 
-    private final Health[] all;
+    private final Health[] authorities;
 
-    /** So many authorities of which nothing is known. */
+    /** Creates a selector for {@code count} authorities without any history. */
     public AuthoritySelector(int count) {
         if (count < 1) {
-            throw new IllegalArgumentException("at least one authority is needed");
+            throw new IllegalArgumentException("at least one authority is required");
         }
-        all = new Health[count];
-        Arrays.setAll(all, i -> new Health());
+        authorities = new Health[count];
+        Arrays.setAll(authorities, i -> new Health());
     }
 
-    /** The one to ask: of those asked least for this question the one that should answer first. */
-    public int select(int[] asked, double now) {
+    /**
+     * Selects the authority for the next query of a lookup: the one expected to respond first among those that this
+     * lookup has queried least.
+     *
+     * @param queriesSent queries that the lookup has sent so far, by authority
+     */
+    public int select(int[] queriesSent, double now) {
         int best = 0;
-        for (int i = 1; i < all.length; i++) {
-            if (better(i, best, asked, now)) {
+        for (int i = 1; i < authorities.length; i++) {
+            if (isBetter(i, best, queriesSent, now)) {
                 best = i;
             }
         }
-        all[best].triedAt = now;
+        authorities[best].lastQueryAt = now;
         return best;
     }
 
-    private boolean better(int i, int best, int[] asked, double now) {
-        // One that seems out is tried for a question of its own now and then, which finds it when it is back.
-        boolean due = asked[i] == 0 && out(i, now) && now - all[i].triedAt >= RETRY_SPAN;
-        boolean bestDue = asked[best] == 0 && out(best, now) && now - all[best].triedAt >= RETRY_SPAN;
-        boolean first = asked[i] == 0 && Arrays.stream(asked).sum() == 0;
-        if (first && due != bestDue) {
-            return due;
+    private boolean isBetter(int i, int best, int[] queriesSent, double now) {
+        // An unavailable authority gets the first query of a lookup from time to time, which detects its recovery.
+        boolean retryDue =
+                queriesSent[i] == 0 && isUnavailable(i, now) && now - authorities[i].lastQueryAt >= RETRY_INTERVAL_MS;
+        boolean bestRetryDue = queriesSent[best] == 0
+                && isUnavailable(best, now)
+                && now - authorities[best].lastQueryAt >= RETRY_INTERVAL_MS;
+        boolean firstQuery = queriesSent[i] == 0 && Arrays.stream(queriesSent).sum() == 0;
+        if (firstQuery && retryDue != bestRetryDue) {
+            return retryDue;
         }
-        if (asked[i] != asked[best]) {
-            return asked[i] < asked[best];
+        if (queriesSent[i] != queriesSent[best]) {
+            return queriesSent[i] < queriesSent[best];
         }
-        if (out(i, now) != out(best, now)) {
-            return !out(i, now);
+        if (isUnavailable(i, now) != isUnavailable(best, now)) {
+            return !isUnavailable(i, now);
         }
-        return trip(i) < trip(best);
+        return expectedRttMs(i) < expectedRttMs(best);
     }
 
-    private double trip(int i) {
-        return Double.isNaN(all[i].smoothed) ? 0 : all[i].smoothed;
+    private double expectedRttMs(int i) {
+        return Double.isNaN(authorities[i].smoothedRttMs) ? 0 : authorities[i].smoothedRttMs;
     }
 
-    private boolean out(int i, double now) {
-        return now < all[i].lameUntil || all[i].silences >= OUT_AFTER;
+    private boolean isUnavailable(int i, double now) {
+        return now < authorities[i].lameUntil || authorities[i].consecutiveTimeouts >= MAX_CONSECUTIVE_TIMEOUTS;
     }
 
-    /** How long to wait for an answer of this one, in milliseconds. */
+    /** Returns how long to wait for a response of this authority, in milliseconds. */
     public double timeoutMs(int i) {
-        Health h = all[i];
-        double wait = Double.isNaN(h.smoothed) ? FIRST_WAIT : h.smoothed + 4 * h.deviation;
-        wait = Math.max(LEAST_WAIT, wait) * (1 << Math.min(h.silences, MOST_DOUBLINGS));
-        return Math.min(MOST_WAIT, wait);
+        Health health = authorities[i];
+        double timeoutMs = Double.isNaN(health.smoothedRttMs)
+                ? INITIAL_TIMEOUT_MS
+                : health.smoothedRttMs + 4 * health.rttDeviationMs;
+        timeoutMs = Math.max(MIN_TIMEOUT_MS, timeoutMs)
+                * (1 << Math.min(health.consecutiveTimeouts, MAX_BACKOFF_DOUBLINGS));
+        return Math.min(MAX_TIMEOUT_MS, timeoutMs);
     }
 
-    /** It answered after so long. */
-    public void recordResponse(int i, double delay) {
-        Health h = all[i];
-        h.silences = 0;
-        if (Double.isNaN(h.smoothed)) {
-            h.smoothed = delay;
-            h.deviation = delay / 2;
+    /** Records a response that took {@code rttMs}. */
+    public void recordResponse(int i, double rttMs) {
+        Health health = authorities[i];
+        health.consecutiveTimeouts = 0;
+        if (Double.isNaN(health.smoothedRttMs)) {
+            health.smoothedRttMs = rttMs;
+            health.rttDeviationMs = rttMs / 2;
         } else {
-            h.deviation += (Math.abs(delay - h.smoothed) - h.deviation) / 4;
-            h.smoothed += (delay - h.smoothed) / 8;
+            health.rttDeviationMs += (Math.abs(rttMs - health.smoothedRttMs) - health.rttDeviationMs) / 4;
+            health.smoothedRttMs += (rttMs - health.smoothedRttMs) / 8;
         }
     }
 
-    /** It did not answer in time. */
+    /** Records that a query timed out. */
     public void recordTimeout(int i) {
-        all[i].silences++;
+        authorities[i].consecutiveTimeouts++;
     }
 
-    /** It answered that it does not serve what it should. */
+    /** Records a response that shows that the authority does not serve the zone. */
     public void recordLame(int i, double now) {
-        all[i].lameUntil = now + LAME_SPAN;
+        authorities[i].lameUntil = now + LAME_PERIOD_MS;
     }
 
-    /** How many there are. */
+    /** Returns the number of authorities. */
     public int count() {
-        return all.length;
+        return authorities.length;
     }
 }
--- a/src/main/java/damsonseam/dns/DnsFormatException.java
+++ b/src/main/java/damsonseam/dns/DnsFormatException.java
@@ -1,6 +1,6 @@
 package damsonseam.dns;
 
-/** A DNS message that can't be read. */
+/** Thrown for a DNS message that cannot be decoded. */
 public final class DnsFormatException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/damsonseam/dns/E164Name.java
+++ b/src/main/java/damsonseam/dns/E164Name.java
@@ -3,18 +3,18 @@
 import org.xbill.DNS.Name;
 import org.xbill.DNS.TextParseException;
 
-/** Numbers as domain names: the digits reversed, a label each, under a suffix (RFC 6116 3.2). */
+/** Converts between E.164 numbers and domain names: one label per digit, reversed, under a suffix (RFC 6116 3.2). */
 public final class E164Name {
-    /** Digits at most; E.164 has 15, some networks add a few. */
+    /** Maximum length of a number: E.164 allows 15 digits, some networks use a few more. */
     public static final int MAX_DIGITS = 20;
 
     private E164Name() {}
 
-    /** A suffix from its text form, absolute. */
+    /** Parses a suffix, which is taken to be absolute. */
     public static Name parseSuffix(String text) {
         try {
             Name name = Name.fromString(text, Name.root);
-            // Room for all digits a number may have, or some calls could not be asked for.
+            // Each digit takes two octets of the 255 that a name may have; the longest number must fit as well.
             if (name.length() + 2 * MAX_DIGITS > 255) {
                 throw new IllegalArgumentException("suffix: too long for " + MAX_DIGITS + " digits: " + text);
             }
@@ -24,27 +24,27 @@
         }
     }
 
-    /** The name of a number under a suffix. */
+    /** Returns the domain name of a number under a suffix. */
     public static Name toName(String number, Name suffix) {
         StringBuilder labels = new StringBuilder(2 * number.length());
         for (int i = number.length() - 1; i >= 0; i--) {
-            char c = number.charAt(i);
-            if (c < '0' || c > '9') {
-                throw new IllegalArgumentException("a number is all digits: " + number);
+            char digit = number.charAt(i);
+            if (digit < '0' || digit > '9') {
+                throw new IllegalArgumentException("number must consist of digits only: " + number);
             }
-            labels.append(c).append(i > 0 ? "." : "");
+            labels.append(digit).append(i > 0 ? "." : "");
         }
         if (number.isEmpty() || number.length() > MAX_DIGITS) {
-            throw new IllegalArgumentException("a number has 1 to " + MAX_DIGITS + " digits: " + number);
+            throw new IllegalArgumentException("number must have 1 to " + MAX_DIGITS + " digits: " + number);
         }
         try {
             return Name.fromString(labels.toString(), suffix);
         } catch (TextParseException e) {
-            throw new IllegalArgumentException("number " + number + " under " + suffix, e);
+            throw new IllegalArgumentException("no domain name for number " + number + " under " + suffix, e);
         }
     }
 
-    /** The number that a name under the suffix stands for, or null if it stands for none. */
+    /** Returns the number that a name under the suffix represents, or null if it represents none. */
     public static String toNumber(Name name, Name suffix) {
         int digits = name.labels() - suffix.labels();
         if (digits < 1 || digits > MAX_DIGITS) {
--- a/src/main/java/damsonseam/dns/EnumResponses.java
+++ b/src/main/java/damsonseam/dns/EnumResponses.java
@@ -19,121 +19,121 @@
 import org.xbill.DNS.Section;
 
 /**
- * The answers of the ENUM service. A call that stands is a NAPTR of TTL 0 that leads to the calculator and the
- * call; one that is refused or failed is told by rcode and by an Extended DNS Error of private use (RFC 8914
- * 5.2: 49152 and above), so that neither is taken for a fault of the name server.
+ * Builds the responses of the ENUM service with dnsjava. An established call is a NAPTR record of TTL 0 that names the
+ * calculator and the call. A refused or failed call is an rcode with an Extended DNS Error for private use (RFC 8914
+ * section 5.2: 49152 and above), so that neither is taken for a fault of the name server.
  */
 public final class EnumResponses {
-    /** Refused: the caller may come back after the advised time. */
+    /** EDE code of a refused call: the caller may redial after the advised wait. */
     public static final int EDE_REFUSED = 49200;
-    /** Given up: no calculator could take the call in time. */
+    /** EDE code of a failed call: no calculator could take it in time. */
     public static final int EDE_FAILED = 49201;
-    /** Longest NAPTR lifetime: none, as each answer is one call. */
-    private static final int NO_TTL = 0;
-    /** How long resolvers may keep that a number or type does not exist, in seconds. */
-    private static final int NEGATIVE_TTL = 1;
+    /** TTL of the NAPTR record: it must not be cached, as each response stands for one call. */
+    private static final int NAPTR_TTL_S = 0;
+    /** How long resolvers may cache that a name or type does not exist. */
+    private static final int NEGATIVE_TTL_S = 1;
 
     private EnumResponses() {}
 
-    /** The final answer of a call as octets, cut to {@code limit} with TC set where it is longer. */
-    public static byte[] finalAnswer(Message query, long call, FinalAnswer answer, Name suffix, int limit) {
-        Name asked = query.getQuestion().getName();
+    /** Encodes the final answer of a call; a response longer than {@code maxBytes} is truncated with TC set. */
+    public static byte[] finalAnswer(Message query, long call, FinalAnswer answer, Name suffix, int maxBytes) {
+        Name queryName = query.getQuestion().getName();
         return switch (answer.kind()) {
             case STANDS -> {
-                Message reply = start(query, Rcode.NOERROR);
-                String uri = "!^.*$!sip:" + Long.toHexString(call) + "@" + answer.server() + "!";
-                reply.addRecord(
-                        new NAPTRRecord(asked, DClass.IN, NO_TTL, 100, 10, "u", "E2U+sip", uri, Name.root),
+                Message response = startResponse(query, Rcode.NOERROR);
+                String regexp = "!^.*$!sip:" + Long.toHexString(call) + "@" + answer.server() + "!";
+                response.addRecord(
+                        new NAPTRRecord(queryName, DClass.IN, NAPTR_TTL_S, 100, 10, "u", "E2U+sip", regexp, Name.root),
                         Section.ANSWER);
-                yield finish(query, reply, limit);
+                yield encode(query, response, maxBytes);
             }
             case REFUSED -> {
-                long wait = Math.round(answer.returnAfter());
-                yield finish(
+                long waitMs = Math.round(answer.returnAfter());
+                yield encode(
                         query,
-                        start(query, Rcode.REFUSED),
-                        limit,
-                        new EdnsCallOption(false, wait).toOption(),
+                        startResponse(query, Rcode.REFUSED),
+                        maxBytes,
+                        new EdnsCallOption(false, waitMs).toOption(),
                         new ExtendedErrorCodeOption(
-                                EDE_REFUSED, answer.why() + (wait > 0 ? "; return after " + wait + " ms" : "")));
+                                EDE_REFUSED, answer.why() + (waitMs > 0 ? "; return after " + waitMs + " ms" : "")));
             }
-            case UNKNOWN_NUMBER -> negative(query, Rcode.NXDOMAIN, suffix, limit);
+            case UNKNOWN_NUMBER -> negative(query, Rcode.NXDOMAIN, suffix, maxBytes);
             default ->
-                finish(
+                encode(
                         query,
-                        start(query, Rcode.SERVFAIL),
-                        limit,
+                        startResponse(query, Rcode.SERVFAIL),
+                        maxBytes,
                         new ExtendedErrorCodeOption(EDE_FAILED, answer.why()));
         };
     }
 
-    /** That a name, or a type at a name, does not exist. */
-    static byte[] negative(Message query, int rcode, Name suffix, int limit) {
-        Message reply = start(query, rcode);
-        reply.addRecord(
-                new SOARecord(suffix, DClass.IN, NEGATIVE_TTL, suffix, suffix, 1, 3600, 600, 86_400, NEGATIVE_TTL),
+    /** Encodes a negative response: the name, or the type at that name, does not exist. */
+    static byte[] negative(Message query, int rcode, Name suffix, int maxBytes) {
+        Message response = startResponse(query, rcode);
+        response.addRecord(
+                new SOARecord(suffix, DClass.IN, NEGATIVE_TTL_S, suffix, suffix, 1, 3600, 600, 86_400, NEGATIVE_TTL_S),
                 Section.AUTHORITY);
-        return finish(query, reply, limit);
+        return encode(query, response, maxBytes);
     }
 
-    /** A question that is not taken, told by rcode and extended error. */
-    static byte[] error(Message query, int rcode, int extended, String why, int limit) {
-        return finish(query, start(query, rcode), limit, new ExtendedErrorCodeOption(extended, why));
+    /** Encodes an error response with an extended error code and text. */
+    static byte[] error(Message query, int rcode, int extendedCode, String reason, int maxBytes) {
+        return encode(query, startResponse(query, rcode), maxBytes, new ExtendedErrorCodeOption(extendedCode, reason));
     }
 
-    /** FORMERR for octets of which only the id could be read (RFC 1035 4.1.1). */
+    /** Encodes FORMERR for a message of which only the ID could be read (RFC 1035 section 4.1.1). */
     static byte[] formatError(int id) {
-        Message reply = new Message(id);
-        reply.getHeader().setFlag(Flags.QR);
-        reply.getHeader().setRcode(Rcode.FORMERR);
-        return reply.toWire();
+        Message response = new Message(id);
+        response.getHeader().setFlag(Flags.QR);
+        response.getHeader().setRcode(Rcode.FORMERR);
+        return response.toWire();
     }
 
-    /** REFUSED for octets that there was no time to read: only the header, with their id. */
-    public static byte[] headerOnlyRefusal(byte[] octets) {
-        Message reply = new Message(DnsCodec.messageId(octets));
-        reply.getHeader().setFlag(Flags.QR);
-        reply.getHeader().setOpcode(octets[2] >> 3 & 0xf);
-        reply.getHeader().setRcode(Rcode.REFUSED);
-        return reply.toWire();
+    /** Encodes REFUSED for a query that is not decoded for lack of time: a header only, with the query's ID. */
+    public static byte[] headerOnlyRefusal(byte[] query) {
+        Message response = new Message(DnsCodec.messageId(query));
+        response.getHeader().setFlag(Flags.QR);
+        response.getHeader().setOpcode(query[2] >> 3 & 0xf);
+        response.getHeader().setRcode(Rcode.REFUSED);
+        return response.toWire();
     }
 
-    /** An answer that repeats the question as it was asked, the case of its letters included. */
-    private static Message start(Message query, int rcode) {
-        Header asked = query.getHeader();
-        Message reply = new Message(asked.getID());
-        Header header = reply.getHeader();
+    /** Starts a response that repeats the question of the query, including the case of its letters. */
+    private static Message startResponse(Message query, int rcode) {
+        Header queryHeader = query.getHeader();
+        Message response = new Message(queryHeader.getID());
+        Header header = response.getHeader();
         header.setFlag(Flags.QR);
-        header.setOpcode(asked.getOpcode());
-        if (asked.getFlag(Flags.RD)) {
+        header.setOpcode(queryHeader.getOpcode());
+        if (queryHeader.getFlag(Flags.RD)) {
             header.setFlag(Flags.RD);
         }
-        if (asked.getOpcode() == Opcode.QUERY && rcode != Rcode.REFUSED) {
+        if (queryHeader.getOpcode() == Opcode.QUERY && rcode != Rcode.REFUSED) {
             header.setFlag(Flags.AA);
         }
         header.setRcode(rcode & 0xf);
         Record question = query.getQuestion();
         if (question != null) {
-            reply.addRecord(question, Section.QUESTION);
+            response.addRecord(question, Section.QUESTION);
         }
-        return reply;
+        return response;
     }
 
-    private static byte[] finish(Message query, Message reply, int limit, EDNSOption... options) {
-        OPTRecord asked = query.getOPT();
-        if (asked != null) {
-            reply.addRecord(
+    private static byte[] encode(Message query, Message response, int maxBytes, EDNSOption... options) {
+        OPTRecord queryOpt = query.getOPT();
+        if (queryOpt != null) {
+            response.addRecord(
                     new OPTRecord(DnsCodec.MAX_UDP_RESPONSE_BYTES, 0, 0, 0, List.of(options)), Section.ADDITIONAL);
         }
-        return reply.toWire(limit);
+        return response.toWire(maxBytes);
     }
 
-    /** BADVERS: an EDNS version that is not spoken here (RFC 6891 6.1.3). */
-    static byte[] badVersion(Message query, int limit) {
-        Message reply = start(query, Rcode.NOERROR);
-        reply.addRecord(
+    /** Encodes BADVERS for an unsupported EDNS version (RFC 6891 section 6.1.3). */
+    static byte[] badVersion(Message query, int maxBytes) {
+        Message response = startResponse(query, Rcode.NOERROR);
+        response.addRecord(
                 new OPTRecord(DnsCodec.MAX_UDP_RESPONSE_BYTES, Rcode.BADVERS >> 4, 0, 0, new ArrayList<>()),
                 Section.ADDITIONAL);
-        return reply.toWire(limit);
+        return response.toWire(maxBytes);
     }
 }
--- a/src/main/java/damsonseam/dns/EnumService.java
+++ b/src/main/java/damsonseam/dns/EnumService.java
@@ -17,226 +17,250 @@
 import org.xbill.DNS.Type;
 
 /**
- * The side of the front that callers ask: a NAPTR question for a number under the suffix is a call (RFC 6116),
- * and its answer is the call's final answer. A question sent again is the same call. Sockets hand their octets
- * to {@link #handleQuery}; nothing here waits.
+ * The ENUM server that callers query. A NAPTR query for a number under the suffix is a call (RFC 6116), and its
+ * response carries the final answer of the call. A retransmitted query belongs to the call of the first one.
+ *
+ * <p>Sockets pass their messages to {@link #handleQuery}, which never blocks. Not thread-safe: it runs on the thread of
+ * the router. Calls in progress are bounded by the transaction table. Times are in milliseconds.
  */
 public final class EnumService {
 
-    /** Where an answer goes. */
+    /** Sends the response of one query to its caller. */
     @FunctionalInterface
     public interface ResponseSender {
-        /** Sends one answer. */
-        void send(byte[] answer);
+        /** Sends a response. */
+        void send(byte[] response);
     }
 
-    /** Counts of what was asked, for reports. */
+    /** Counters of queries that did not become a call. */
     public static final class Counts {
-        /** Octets that were no question. */
+        /** Messages that were not a valid query. */
         public long malformed;
-        /** Questions of a class, type, suffix or opcode that is not served. */
+        /** Queries of a class, suffix, opcode or EDNS version that is not served. */
         public long notServed;
-        /** Questions that had been asked before. */
+        /** Retransmitted queries. */
         public long duplicates;
-        /** Questions turned away by the gate of streams. */
+        /** Queries rejected by admission control. */
         public long rejected;
-        /** Questions for which there was no room. */
+        /** Queries refused because the transaction table was full. */
         public long tableFull;
     }
 
-    /** What a question may be turned away for before it becomes a call. */
+    /** Decides whether a query becomes a call. */
     @FunctionalInterface
     public interface AdmissionControl {
-        /** Takes every call. */
+        /** Admits every call. */
         AdmissionControl ADMIT_ALL = (now, callClass, source) -> -1;
 
-        /** Negative to take a call of this class from there, else how long its caller is asked to stay away. */
+        /**
+         * Decides about one call.
+         *
+         * @return a negative value to admit the call, else the advised wait before a redial, in milliseconds
+         */
         long decide(double now, int callClass, Object source);
     }
 
-    /** Why a question was turned away before it became a call. */
+    /** Error text for a query that admission control rejected. */
     public static final String FRONT_BUSY = "front busy";
 
     private final Name suffix;
-    private final FastPathQuery.WireSuffix plainSuffix;
+    private final FastPathQuery.WireSuffix wireSuffix;
     private final NumberPlan plan;
     private final Router router;
     private final TransactionTable transactions;
-    private final double wayBack;
+    private final double returnDelayMs;
     private final Counts counts = new Counts();
 
-    /** A service under a suffix; the transactions are its own; {@code wayBack} is taken off each caller's time. */
-    public EnumService(Name suffix, NumberPlan plan, Router router, TransactionTable transactions, double wayBack) {
-        this.wayBack = wayBack;
+    /**
+     * Creates a service.
+     *
+     * @param suffix the suffix of all numbers
+     * @param transactions the table of recent queries, used by this service alone
+     * @param returnDelayMs network delay of a response, deducted from the patience of each caller
+     */
+    public EnumService(
+            Name suffix, NumberPlan plan, Router router, TransactionTable transactions, double returnDelayMs) {
+        this.returnDelayMs = returnDelayMs;
         this.suffix = suffix;
-        plainSuffix = new FastPathQuery.WireSuffix(suffix);
+        wireSuffix = new FastPathQuery.WireSuffix(suffix);
         this.plan = plan;
         this.router = router;
         this.transactions = transactions;
     }
 
     /**
-     * Octets came from a caller.
+     * Handles a message from a caller.
      *
-     * @param source address and port, or the connection: what tells two callers with one id apart
-     * @param stream whether answers may be long (TCP)
-     * @param age how long the octets may have waited unread, in milliseconds
-     * @param gate what may turn a call away; not asked for questions sent again
-     * @return the call that this question opened, or null
+     * @param source address and port, or the connection; distinguishes callers that use the same message ID
+     * @param tcp whether the response may be as long as TCP allows
+     * @param ageMs upper bound of the time for which the message waited unread
+     * @param message the whole message
+     * @param admission decides about a new call; not consulted for a retransmitted query
+     * @param sender receives the response
+     * @return the call that this query created, or null
      */
     public CallRecord handleQuery(
             double now,
             Object source,
-            boolean stream,
-            double age,
-            byte[] octets,
-            AdmissionControl gate,
-            ResponseSender reply) {
-        FastPathQuery plain = FastPathQuery.parse(octets, plainSuffix);
-        if (plain != null) {
-            NumberPlan.Entry entry = plan.find(plain.number());
+            boolean tcp,
+            double ageMs,
+            byte[] message,
+            AdmissionControl admission,
+            ResponseSender sender) {
+        FastPathQuery fastPath = FastPathQuery.parse(message, wireSuffix);
+        if (fastPath != null) {
+            NumberPlan.Entry entry = plan.find(fastPath.number());
             if (entry != null) {
-                return call(
+                return startCall(
                         now,
-                        new Asked(
+                        new CallQuery(
                                 source,
-                                plain,
+                                fastPath,
                                 null,
-                                plain.number(),
-                                stream ? Message.MAXLENGTH : plain.maxResponseBytes()),
-                        plain.callOption(),
+                                fastPath.number(),
+                                tcp ? Message.MAXLENGTH : fastPath.maxResponseBytes()),
+                        fastPath.callOption(),
                         entry,
-                        age,
-                        gate,
-                        reply);
+                        ageMs,
+                        admission,
+                        sender);
             }
         }
-        if (DnsCodec.isResponse(octets)) {
+        if (DnsCodec.isResponse(message)) {
             counts.malformed++;
             return null;
         }
         Message query;
         try {
-            query = DnsCodec.decode(octets);
+            query = DnsCodec.decode(message);
         } catch (DnsFormatException e) {
             counts.malformed++;
-            if (octets.length >= DnsCodec.HEADER_BYTES) {
-                reply.send(EnumResponses.formatError(DnsCodec.messageId(octets)));
+            if (message.length >= DnsCodec.HEADER_BYTES) {
+                sender.send(EnumResponses.formatError(DnsCodec.messageId(message)));
             }
             return null;
         }
-        int limit = limit(query, stream);
-        byte[] refusal = notServed(query, limit);
-        if (refusal != null) {
+        int maxBytes = maxResponseBytes(query, tcp);
+        byte[] error = errorIfNotServed(query, maxBytes);
+        if (error != null) {
             counts.notServed++;
-            reply.send(refusal);
+            sender.send(error);
             return null;
         }
-        Record asked = query.getQuestion();
-        String number = E164Name.toNumber(asked.getName(), suffix);
+        Record question = query.getQuestion();
+        String number = E164Name.toNumber(question.getName(), suffix);
         NumberPlan.Entry entry = number == null ? null : plan.find(number);
-        if (entry == null || asked.getType() != Type.NAPTR) {
-            boolean exists = asked.getName().equals(suffix) || entry != null;
-            reply.send(EnumResponses.negative(query, exists ? Rcode.NOERROR : Rcode.NXDOMAIN, suffix, limit));
+        if (entry == null || question.getType() != Type.NAPTR) {
+            boolean exists = question.getName().equals(suffix) || entry != null;
+            sender.send(EnumResponses.negative(query, exists ? Rcode.NOERROR : Rcode.NXDOMAIN, suffix, maxBytes));
             return null;
         }
-        return call(
+        return startCall(
                 now,
-                new Asked(source, null, query, number, limit),
+                new CallQuery(source, null, query, number, maxBytes),
                 EdnsCallOption.from(query.getOPT()),
                 entry,
-                age,
-                gate,
-                reply);
+                ageMs,
+                admission,
+                sender);
     }
 
     /**
-     * A plain question that a gate has passed already.
+     * Handles a fast-path query that admission control has already admitted.
      *
-     * @param source as the key of questions sent again
-     * @param age how long it may have waited, in milliseconds
+     * @param source as in the other overload; part of the key of a retransmitted query
+     * @param ageMs upper bound of the time for which the query waited
+     * @return the call that this query created, or null
      */
     public CallRecord handleQuery(
-            double now, Object source, double age, FastPathQuery plain, NumberPlan.Entry entry, ResponseSender reply) {
-        return call(
+            double now,
+            Object source,
+            double ageMs,
+            FastPathQuery query,
+            NumberPlan.Entry entry,
+            ResponseSender sender) {
+        return startCall(
                 now,
-                new Asked(source, plain, null, plain.number(), plain.maxResponseBytes()),
-                plain.callOption(),
+                new CallQuery(source, query, null, query.number(), query.maxResponseBytes()),
+                query.callOption(),
                 entry,
-                age,
+                ageMs,
                 AdmissionControl.ADMIT_ALL,
-                reply);
+                sender);
     }
 
-    /** A question for a number, read the short way or the long one. */
-    private record Asked(Object source, FastPathQuery plain, Message query, String number, int limit) {
+    /** A query for a number, parsed either by the fast path or by dnsjava; the other of the two is null. */
+    private record CallQuery(Object source, FastPathQuery fastPath, Message decoded, String number, int maxBytes) {
         TransactionTable.Key key() {
             return new TransactionTable.Key(
-                    source, plain != null ? plain.id() : query.getHeader().getID(), number);
+                    source,
+                    fastPath != null ? fastPath.id() : decoded.getHeader().getID(),
+                    number);
         }
 
         Message message() {
             try {
-                return query != null ? query : DnsCodec.decode(plain.bytes());
+                return decoded != null ? decoded : DnsCodec.decode(fastPath.bytes());
             } catch (DnsFormatException e) {
-                throw new IllegalStateException("a plain question that is no message", e);
+                throw new IllegalStateException("fast path accepted a malformed message", e);
             }
         }
 
-        byte[] answer(long call, FinalAnswer answer, Name suffix) {
-            byte[] octets = plain == null ? null : FastPathResponse.encode(plain, call, answer, limit);
-            return octets != null ? octets : EnumResponses.finalAnswer(message(), call, answer, suffix, limit);
+        byte[] encodeResponse(long call, FinalAnswer answer, Name suffix) {
+            byte[] response = fastPath == null ? null : FastPathResponse.encode(fastPath, call, answer, maxBytes);
+            return response != null ? response : EnumResponses.finalAnswer(message(), call, answer, suffix, maxBytes);
         }
     }
 
-    private CallRecord call(
+    private CallRecord startCall(
             double now,
-            Asked asked,
-            EdnsCallOption hints,
+            CallQuery query,
+            EdnsCallOption option,
             NumberPlan.Entry entry,
-            double age,
-            AdmissionControl gate,
-            ResponseSender reply) {
-        TransactionTable.Key key = asked.key();
+            double ageMs,
+            AdmissionControl admission,
+            ResponseSender sender) {
+        TransactionTable.Key key = query.key();
         TransactionTable.Entry known = transactions.find(key, now);
         if (known != null) {
             counts.duplicates++;
             if (known.response() != null) {
-                reply.send(known.response());
+                sender.send(known.response());
             }
             return null;
         }
         if (!transactions.open(key, now)) {
             counts.tableFull++;
-            reply.send(EnumResponses.error(
-                    asked.message(), Rcode.REFUSED, EnumResponses.EDE_REFUSED, "no room", asked.limit()));
+            sender.send(EnumResponses.error(
+                    query.message(), Rcode.REFUSED, EnumResponses.EDE_REFUSED, "no room", query.maxBytes()));
             return null;
         }
-        long advice = gate.decide(now, entry.callClass(), asked.source());
-        if (advice >= 0) {
+        long waitMs = admission.decide(now, entry.callClass(), query.source());
+        if (waitMs >= 0) {
             counts.rejected++;
-            byte[] octets = asked.answer(0, new FinalAnswer(FinalAnswer.Kind.REFUSED, "", advice, FRONT_BUSY), suffix);
-            transactions.complete(key, octets, now);
-            reply.send(octets);
+            byte[] response =
+                    query.encodeResponse(0, new FinalAnswer(FinalAnswer.Kind.REFUSED, "", waitMs, FRONT_BUSY), suffix);
+            transactions.complete(key, response, now);
+            sender.send(response);
             return null;
         }
-        double timeLeft = hints.timeMs() > 0 ? Math.min(hints.timeMs(), entry.patience()) : entry.patience();
+        double timeLeftMs = option.timeMs() > 0 ? Math.min(option.timeMs(), entry.patience()) : entry.patience();
         return router.offered(
                 now,
-                asked.number(),
+                query.number(),
                 entry.callClass(),
-                timeLeft - wayBack,
-                age,
-                hints.redialled(),
+                timeLeftMs - returnDelayMs,
+                ageMs,
+                option.redialled(),
                 (at, call, answer) -> {
-                    byte[] octets = asked.answer(call.id(), answer, suffix);
-                    transactions.complete(key, octets, at);
-                    reply.send(octets);
+                    byte[] response = query.encodeResponse(call.id(), answer, suffix);
+                    transactions.complete(key, response, at);
+                    sender.send(response);
                 });
     }
 
-    private static int limit(Message query, boolean stream) {
-        if (stream) {
+    private static int maxResponseBytes(Message query, boolean tcp) {
+        if (tcp) {
             return Message.MAXLENGTH;
         }
         OPTRecord opt = query.getOPT();
@@ -247,8 +271,8 @@
                         Math.min(DnsCodec.MAX_UDP_RESPONSE_BYTES, opt.getPayloadSize()));
     }
 
-    /** The answer to a question that is no call for this front, or null if it may be one. */
-    private byte[] notServed(Message query, int limit) {
+    /** Returns the error response to a query that this service does not serve, or null if it may be a call. */
+    private byte[] errorIfNotServed(Message query, int maxBytes) {
         Header header = query.getHeader();
         if (header.getOpcode() != Opcode.QUERY) {
             return EnumResponses.error(
@@ -256,7 +280,7 @@
                     Rcode.NOTIMP,
                     ExtendedErrorCodeOption.NOT_SUPPORTED,
                     "opcode " + Opcode.string(header.getOpcode()),
-                    limit);
+                    maxBytes);
         }
         if (header.getCount(Section.QUESTION) != 1 || query.getQuestion() == null) {
             return EnumResponses.error(
@@ -264,35 +288,36 @@
                     Rcode.FORMERR,
                     ExtendedErrorCodeOption.OTHER,
                     header.getCount(Section.QUESTION) + " questions, expected 1",
-                    limit);
+                    maxBytes);
         }
         if (query.getSection(Section.ADDITIONAL).stream()
                         .filter(r -> r.getType() == Type.OPT)
                         .count()
                 > 1) {
-            // RFC 6891 6.1.1: more than one OPT is a format error.
-            return EnumResponses.error(query, Rcode.FORMERR, ExtendedErrorCodeOption.OTHER, "more than one OPT", limit);
+            // RFC 6891 section 6.1.1: more than one OPT record is a format error.
+            return EnumResponses.error(
+                    query, Rcode.FORMERR, ExtendedErrorCodeOption.OTHER, "more than one OPT", maxBytes);
         }
         if (query.getOPT() != null && query.getOPT().getVersion() > 0) {
-            return EnumResponses.badVersion(query, limit);
+            return EnumResponses.badVersion(query, maxBytes);
         }
-        Record asked = query.getQuestion();
-        if (asked.getDClass() != DClass.IN) {
+        Record question = query.getQuestion();
+        if (question.getDClass() != DClass.IN) {
             return EnumResponses.error(
                     query,
                     Rcode.REFUSED,
                     ExtendedErrorCodeOption.NOT_SUPPORTED,
-                    "class " + DClass.string(asked.getDClass()),
-                    limit);
+                    "class " + DClass.string(question.getDClass()),
+                    maxBytes);
         }
-        if (!asked.getName().subdomain(suffix)) {
+        if (!question.getName().subdomain(suffix)) {
             return EnumResponses.error(
-                    query, Rcode.REFUSED, ExtendedErrorCodeOption.NOT_AUTHORITATIVE, "not under " + suffix, limit);
+                    query, Rcode.REFUSED, ExtendedErrorCodeOption.NOT_AUTHORITATIVE, "not under " + suffix, maxBytes);
         }
         return null;
     }
 
-    /** Counts since the start. */
+    /** Returns the counters, which run since the start. */
     public Counts counts() {
         return counts;
     }
--- a/src/main/java/damsonseam/dns/LookupCache.java
+++ b/src/main/java/damsonseam/dns/LookupCache.java
@@ -5,23 +5,29 @@
 import java.util.Map;
 
 /**
- * What numbers were found to lead to, for as long as their records say, and beyond that for use when no
- * authority answers (RFC 8767). Numbers that do not exist are kept by their SOA (RFC 2308 5), failures for a
- * second (RFC 9520 3.2). The least lately used makes room where the cache is full.
+ * Caches the servers found for each number: fresh for the TTL of the records, then stale for use while no authority
+ * responds (RFC 8767). Nonexistent numbers are cached as their SOA record says (RFC 2308 section 5), failed lookups for
+ * a second (RFC 9520 section 3.2). The size is bounded; a full cache evicts the least recently used number.
+ *
+ * <p>Not thread-safe. Times are in milliseconds unless they say otherwise.
  */
 public final class LookupCache {
-    /** Longest time for which anything is taken to be fresh, in milliseconds: a day. */
-    private static final double MOST_FRESH = 86_400_000;
+    /** Longest time for which a positive result counts as fresh: one day. */
+    private static final double MAX_TTL_MS = 86_400_000;
 
-    private static final double MOST_NEGATIVE = 10_800_000;
-    private static final double FAILURE_SPAN = 1_000;
+    /** Longest time for which a negative result counts as fresh: three hours. */
+    private static final double MAX_NEGATIVE_TTL_MS = 10_800_000;
+
+    private static final double FAILURE_TTL_MS = 1_000;
     private static final double MS_PER_S = 1_000;
 
     private final Map<String, Entry> entries;
-    private static final int MAKES_ROOM = 1_000;
-    private final double staleFor;
-    private final int limit;
-    private int limitCapacity;
+    /** Numbers evicted at most by one change of the capacity, which bounds its time. */
+    private static final int MAX_EVICTIONS_PER_CALL = 1_000;
+
+    private final double staleForMs;
+    private final int maxEntries;
+    private int capacity;
 
     private static final class Entry {
         Candidates candidates;
@@ -29,37 +35,43 @@
         double failedUntil = Double.NEGATIVE_INFINITY;
     }
 
-    /** What the cache knows: fresh, or only stale, and whether a look-up has just failed. */
+    /**
+     * The cached knowledge of a number.
+     *
+     * @param candidates the result of the last successful lookup, or null if there is none that may still be used
+     * @param isFresh whether the result is fresh rather than stale
+     * @param failedRecently whether a lookup has failed within the last second
+     */
     public record CachedResult(Candidates candidates, boolean isFresh, boolean failedRecently) {}
 
     /**
-     * An empty cache.
+     * Creates an empty cache.
      *
-     * @param limit numbers kept at most
-     * @param staleFor how long an entry is kept past its time, in milliseconds
+     * @param maxEntries maximum count of numbers
+     * @param staleForMs how long a result may be used after its TTL, in milliseconds
      */
-    public LookupCache(int limit, double staleFor) {
-        this.staleFor = staleFor;
-        this.limit = limit;
-        limitCapacity = limit;
+    public LookupCache(int maxEntries, double staleForMs) {
+        this.staleForMs = staleForMs;
+        this.maxEntries = maxEntries;
+        capacity = maxEntries;
         entries = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<String, Entry> eldest) {
-                return size() > limitCapacity;
+                return size() > capacity;
             }
         };
     }
 
-    /** What is known of a number; null if nothing is that may be used. */
+    /** Returns what is cached for a number, or null if nothing is that may be used. */
     public CachedResult find(String number, double now) {
         Entry entry = entries.get(number);
         if (entry == null) {
             return null;
         }
         boolean failed = now < entry.failedUntil;
-        boolean usable = entry.candidates != null && now < entry.freshUntil + staleFor;
+        boolean usable = entry.candidates != null && now < entry.freshUntil + staleForMs;
         if (!usable && !failed) {
             entries.remove(number);
             return null;
@@ -67,34 +79,34 @@
         return new CachedResult(usable ? entry.candidates : null, usable && now < entry.freshUntil, failed);
     }
 
-    /** A number was found, or found not to exist; {@code ttl} is in seconds. */
-    public void put(String number, Candidates candidates, long ttl, double now) {
-        double most = candidates.outcome() == Candidates.Outcome.UNKNOWN ? MOST_NEGATIVE : MOST_FRESH;
+    /** Stores that a number was found, or found not to exist. */
+    public void put(String number, Candidates candidates, long ttlS, double now) {
+        double maxTtlMs = candidates.outcome() == Candidates.Outcome.UNKNOWN ? MAX_NEGATIVE_TTL_MS : MAX_TTL_MS;
         Entry entry = entries.computeIfAbsent(number, n -> new Entry());
         entry.candidates = candidates;
-        entry.freshUntil = now + Math.min(most, Math.max(0, ttl) * MS_PER_S);
+        entry.freshUntil = now + Math.min(maxTtlMs, Math.max(0, ttlS) * MS_PER_S);
         entry.failedUntil = Double.NEGATIVE_INFINITY;
     }
 
-    /** No authority could be made to answer; what was known stays as a stale answer. */
+    /** Records that no authority gave a usable response; an earlier result remains as a stale one. */
     public void recordFailure(String number, double now) {
-        entries.computeIfAbsent(number, n -> new Entry()).failedUntil = now + FAILURE_SPAN;
+        entries.computeIfAbsent(number, n -> new Entry()).failedUntil = now + FAILURE_TTL_MS;
     }
 
     /**
-     * Gives the cache this share of its room from now on; what is too much goes a thousand numbers a call, the least
-     * lately used first.
+     * Sets the capacity to a share of the maximum, at most 1. Each call evicts at most a thousand surplus numbers, the
+     * least recently used first.
      */
     public void limitCapacity(double share) {
-        limitCapacity = Math.max(1, (int) (limit * Math.min(1, share)));
+        capacity = Math.max(1, (int) (maxEntries * Math.min(1, share)));
         var eldest = entries.keySet().iterator();
-        for (int i = 0; i < MAKES_ROOM && entries.size() > limitCapacity; i++) {
+        for (int i = 0; i < MAX_EVICTIONS_PER_CALL && entries.size() > capacity; i++) {
             eldest.next();
             eldest.remove();
         }
     }
 
-    /** Numbers kept. */
+    /** Returns the count of cached numbers. */
     public int size() {
         return entries.size();
     }
--- a/src/main/java/damsonseam/dns/NaptrRules.java
+++ b/src/main/java/damsonseam/dns/NaptrRules.java
@@ -9,37 +9,37 @@
 import org.xbill.DNS.NAPTRRecord;
 
 /**
- * The servers that the NAPTR records of a number lead to (RFC 6116 3.4, RFC 3403 4): terminal rules ("u") of
- * the service E2U+sip, by order and then preference. Regular expressions run on an engine of linear time, as
- * they come from outside.
+ * Evaluates the NAPTR records of a number (RFC 6116 section 3.4, RFC 3403 section 4): terminal rules (flag "u") of the
+ * service E2U+sip, sorted by order and then preference. As the regular expressions come from outside, they run on RE2/J
+ * in time linear in the input.
  */
 public final class NaptrRules {
-    /** Rules looked at in one answer; those beyond, which come last, are passed over. */
+    /** Maximum count of rules evaluated in one response; those sorted behind them are ignored. */
     public static final int MAX_RULES = 32;
 
-    private static final int MOST_PATTERN = 256;
+    private static final int MAX_EXPRESSION_CHARS = 256;
     private static final String SERVICE = "E2U+SIP";
 
     private NaptrRules() {}
 
-    /** The host parts of the URIs that a number leads to, first choice first; rules that do not fit are left out. */
+    /** Returns the hosts of the SIP URIs for a number, most preferred first; rules of other kinds are ignored. */
     public static List<String> serverHosts(String number, List<NAPTRRecord> records) {
         List<NAPTRRecord> sorted = new ArrayList<>(records);
         sorted.sort(Comparator.comparingInt(NAPTRRecord::getOrder).thenComparingInt(NAPTRRecord::getPreference));
-        List<String> servers = new ArrayList<>();
+        List<String> hosts = new ArrayList<>();
         for (NAPTRRecord rule : sorted.subList(0, Math.min(MAX_RULES, sorted.size()))) {
             if (rule.getFlags().equalsIgnoreCase("u") && rule.getService().equalsIgnoreCase(SERVICE)) {
-                String host = host(substitute("+" + number, plain(rule.getRegexp())));
-                if (host != null && !servers.contains(host)) {
-                    servers.add(host);
+                String host = sipHost(substitute("+" + number, unescape(rule.getRegexp())));
+                if (host != null && !hosts.contains(host)) {
+                    hosts.add(host);
                 }
             }
         }
-        return servers;
+        return hosts;
     }
 
-    /** The library hands character strings out as a zone file writes them; this takes its escapes away. */
-    static String plain(String escaped) {
+    /** Removes the zone-file escapes with which dnsjava returns character strings. */
+    static String unescape(String escaped) {
         StringBuilder out = new StringBuilder(escaped.length());
         for (int i = 0; i < escaped.length(); i++) {
             char c = escaped.charAt(i);
@@ -55,28 +55,28 @@
         return out.toString();
     }
 
-    /** Applies a substitution expression (RFC 3402 3.2) to a string; null where it does not apply. */
-    static String substitute(String to, String expression) {
-        if (expression.length() < 3 || expression.length() > MOST_PATTERN) {
+    /** Applies a substitution expression (RFC 3402 section 3.2); returns null if it is malformed or does not match. */
+    static String substitute(String input, String expression) {
+        if (expression.length() < 3 || expression.length() > MAX_EXPRESSION_CHARS) {
             return null;
         }
         char delimiter = expression.charAt(0);
-        int middle = expression.indexOf(delimiter, 1);
-        int end = middle < 0 ? -1 : expression.indexOf(delimiter, middle + 1);
-        if (end < 0) {
+        int secondDelimiter = expression.indexOf(delimiter, 1);
+        int lastDelimiter = secondDelimiter < 0 ? -1 : expression.indexOf(delimiter, secondDelimiter + 1);
+        if (lastDelimiter < 0) {
             return null;
         }
-        int flags = expression.substring(end + 1).equals("i") ? Pattern.CASE_INSENSITIVE : 0;
+        int flags = expression.substring(lastDelimiter + 1).equals("i") ? Pattern.CASE_INSENSITIVE : 0;
         try {
-            Matcher matcher =
-                    Pattern.compile(expression.substring(1, middle), flags).matcher(to);
-            return matcher.find() ? replace(expression.substring(middle + 1, end), matcher) : null;
+            Matcher matcher = Pattern.compile(expression.substring(1, secondDelimiter), flags)
+                    .matcher(input);
+            return matcher.find() ? expand(expression.substring(secondDelimiter + 1, lastDelimiter), matcher) : null;
         } catch (PatternSyntaxException e) {
             return null;
         }
     }
 
-    private static String replace(String template, Matcher matcher) {
+    private static String expand(String template, Matcher matcher) {
         StringBuilder out = new StringBuilder();
         for (int i = 0; i < template.length(); i++) {
             char c = template.charAt(i);
@@ -97,16 +97,16 @@
         return out.toString();
     }
 
-    /** The host of a sip URI, in lower case, without port and parameters; null if it is none. */
-    static String host(String uri) {
+    /** Returns the host of a SIP URI in lower case, without port and parameters; null if this is no SIP URI. */
+    static String sipHost(String uri) {
         if (uri == null || !uri.regionMatches(true, 0, "sip:", 0, 4)) {
             return null;
         }
-        String rest = uri.substring(uri.indexOf('@') < 0 ? 4 : uri.indexOf('@') + 1);
+        String hostAndParameters = uri.substring(uri.indexOf('@') < 0 ? 4 : uri.indexOf('@') + 1);
         int end = 0;
-        while (end < rest.length() && ":;?>".indexOf(rest.charAt(end)) < 0) {
+        while (end < hostAndParameters.length() && ":;?>".indexOf(hostAndParameters.charAt(end)) < 0) {
             end++;
         }
-        return end == 0 ? null : rest.substring(0, end).toLowerCase(java.util.Locale.ROOT);
+        return end == 0 ? null : hostAndParameters.substring(0, end).toLowerCase(java.util.Locale.ROOT);
     }
 }
