--- a/src/main/java/damsonseam/dns/FastPathQuery.java
+++ b/src/main/java/damsonseam/dns/FastPathQuery.java
@@ -7,43 +7,43 @@
 import org.xbill.DNS.Type;
 
 /**
- * A question for a number in the one form in which nearly all come, read in place: one NAPTR question of class IN for
- * single digits under the suffix, with at most one OPT record behind it. Whatever differs by an octet is not read
- * here and goes the long way through dnsjava; both ways give the same answer, which a test holds.
+ * A query in the form that nearly all callers send, parsed in place: one NAPTR question of class IN for a name of
+ * single digits under the suffix, followed by at most one OPT record. Any message of another form is rejected here and
+ * decoded by dnsjava instead; a test ensures that both paths give the same response.
  *
- * <p>Why beside a library: with {@code Message} and {@code Name} a call allocated some ten kilobytes for its two
- * messages, and a question could not be turned away for less than a call costs. See {@code docs/OVERLOAD.md}.
+ * <p>The fast path exists because {@code Message} and {@code Name} allocated some ten kilobytes for the two messages of
+ * a call, so that rejecting a query cost as much as handling a call. See {@code docs/OVERLOAD.md}.
  */
 public final class FastPathQuery {
-    private static final int OPT_FIXED = 11;
-    private static final int OPTION_HEAD = 4;
-    private static final int HINTS = 5;
-    private static final long FNV_OFFSET = 0xcbf29ce484222325L;
+    private static final int OPT_FIXED_BYTES = 11;
+    private static final int OPTION_HEADER_BYTES = 4;
+    private static final int CALL_OPTION_DATA_BYTES = 5;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
     private final byte[] bytes;
     private final int questionEndOffset;
     private final String number;
     private final boolean hasEdns;
-    private final int payload;
+    private final int udpPayloadBytes;
     private final EdnsCallOption callOption;
 
-    /** The suffix in the form in which questions hold it. */
+    /** The wire form of the suffix, in lower case. */
     public static final class WireSuffix {
         private final byte[] wire;
 
-        /** The wire form of a domain name. */
+        /** Encodes a domain name. */
         public WireSuffix(Name name) {
             wire = name.toWireCanonical();
         }
 
-        private boolean matchesAt(byte[] in, int from) {
-            if (from + wire.length > in.length) {
+        private boolean matchesAt(byte[] message, int offset) {
+            if (offset + wire.length > message.length) {
                 return false;
             }
             for (int i = 0; i < wire.length; i++) {
-                byte b = in[from + i];
-                // Lengths are under 64 and no letters, so lower case changes letters only.
+                byte b = message[offset + i];
+                // Label lengths are below 64 and thus no letters, so lower-casing affects letters only.
                 if ((b >= 'A' && b <= 'Z' ? b + 32 : b) != wire[i]) {
                     return false;
                 }
@@ -53,129 +53,154 @@
     }
 
     private FastPathQuery(
-            byte[] octets, int questionEnd, String number, boolean edns, int payload, EdnsCallOption hints) {
-        this.bytes = octets;
-        this.questionEndOffset = questionEnd;
+            byte[] bytes,
+            int questionEndOffset,
+            String number,
+            boolean hasEdns,
+            int udpPayloadBytes,
+            EdnsCallOption callOption) {
+        this.bytes = bytes;
+        this.questionEndOffset = questionEndOffset;
         this.number = number;
-        this.hasEdns = edns;
-        this.payload = payload;
-        this.callOption = hints;
+        this.hasEdns = hasEdns;
+        this.udpPayloadBytes = udpPayloadBytes;
+        this.callOption = callOption;
     }
 
-    /** Reads octets; null if they are not of the plain form. */
-    public static FastPathQuery parse(byte[] in, WireSuffix suffix) {
-        // A query of opcode 0, not truncated; one question, no answers, no authority, at most one more record.
-        if (in.length < DnsCodec.HEADER_BYTES
-                || (in[2] & 0xfe) != 0
-                || (in[3] & 0x0f) != 0
-                || u16(in, 4) != 1
-                || u16(in, 6) != 0
-                || u16(in, 8) != 0
-                || u16(in, 10) > 1) {
+    /** Parses a message; returns null if it is not of the common form. */
+    public static FastPathQuery parse(byte[] message, WireSuffix suffix) {
+        // Opcode QUERY, not truncated; one question, no answer, no authority and at most one additional record.
+        if (message.length < DnsCodec.HEADER_BYTES
+                || (message[2] & 0xfe) != 0
+                || (message[3] & 0x0f) != 0
+                || readU16(message, 4) != 1
+                || readU16(message, 6) != 0
+                || readU16(message, 8) != 0
+                || readU16(message, 10) > 1) {
             return null;
         }
-        int at = DnsCodec.HEADER_BYTES;
+        int offset = DnsCodec.HEADER_BYTES;
         int digits = 0;
-        while (at + 1 < in.length && in[at] == 1 && in[at + 1] >= '0' && in[at + 1] <= '9') {
-            at += 2;
+        while (offset + 1 < message.length
+                && message[offset] == 1
+                && message[offset + 1] >= '0'
+                && message[offset + 1] <= '9') {
+            offset += 2;
             digits++;
         }
-        if (digits < 1 || digits > E164Name.MAX_DIGITS || !suffix.matchesAt(in, at)) {
+        if (digits < 1 || digits > E164Name.MAX_DIGITS || !suffix.matchesAt(message, offset)) {
             return null;
         }
-        int end = at + suffix.wire.length + 4;
-        if (end > in.length || u16(in, end - 4) != Type.NAPTR || u16(in, end - 2) != DClass.IN) {
+        int questionEnd = offset + suffix.wire.length + 4;
+        if (questionEnd > message.length
+                || readU16(message, questionEnd - 4) != Type.NAPTR
+                || readU16(message, questionEnd - 2) != DClass.IN) {
             return null;
         }
-        byte[] number = new byte[digits];
+        byte[] ascii = new byte[digits];
         for (int i = 0; i < digits; i++) {
-            number[digits - 1 - i] = in[DnsCodec.HEADER_BYTES + 2 * i + 1];
+            ascii[digits - 1 - i] = message[DnsCodec.HEADER_BYTES + 2 * i + 1];
         }
-        String text = new String(number, StandardCharsets.ISO_8859_1);
-        if (u16(in, 10) == 0) {
-            return end == in.length
-                    ? new FastPathQuery(in, end, text, false, DnsCodec.MAX_UDP_BYTES_WITHOUT_EDNS, EdnsCallOption.NONE)
+        String number = new String(ascii, StandardCharsets.ISO_8859_1);
+        if (readU16(message, 10) == 0) {
+            return questionEnd == message.length
+                    ? new FastPathQuery(
+                            message,
+                            questionEnd,
+                            number,
+                            false,
+                            DnsCodec.MAX_UDP_BYTES_WITHOUT_EDNS,
+                            EdnsCallOption.NONE)
                     : null;
         }
-        return withOpt(in, end, text);
+        return parseWithOpt(message, questionEnd, number);
     }
 
-    /** One OPT of version 0 up to the end of the message (RFC 6891 6.1.2), its options whole. */
-    private static FastPathQuery withOpt(byte[] in, int end, String number) {
-        if (in.length < end + OPT_FIXED
-                || in[end] != 0
-                || u16(in, end + 1) != Type.OPT
-                || in[end + 5] != 0
-                || in[end + 6] != 0
-                || u16(in, end + 9) != in.length - end - OPT_FIXED) {
+    /** Parses an OPT record of version 0 (RFC 6891 section 6.1.2) that ends the message and has no cut-off option. */
+    private static FastPathQuery parseWithOpt(byte[] message, int questionEnd, String number) {
+        if (message.length < questionEnd + OPT_FIXED_BYTES
+                || message[questionEnd] != 0
+                || readU16(message, questionEnd + 1) != Type.OPT
+                || message[questionEnd + 5] != 0
+                || message[questionEnd + 6] != 0
+                || readU16(message, questionEnd + 9) != message.length - questionEnd - OPT_FIXED_BYTES) {
             return null;
         }
-        EdnsCallOption hints = null;
-        for (int at = end + OPT_FIXED; at < in.length; ) {
-            if (at + OPTION_HEAD > in.length || at + OPTION_HEAD + u16(in, at + 2) > in.length) {
+        EdnsCallOption callOption = null;
+        for (int offset = questionEnd + OPT_FIXED_BYTES; offset < message.length; ) {
+            if (offset + OPTION_HEADER_BYTES > message.length
+                    || offset + OPTION_HEADER_BYTES + readU16(message, offset + 2) > message.length) {
                 return null;
             }
-            int length = u16(in, at + 2);
-            if (u16(in, at) != EdnsCallOption.CODE) {
-                // Options that dnsjava knows are checked by it: only unknown ones are passed over here.
+            int length = readU16(message, offset + 2);
+            if (readU16(message, offset) != EdnsCallOption.CODE) {
+                // Only dnsjava validates the options that it knows, so any other option takes the slow path.
                 return null;
             }
-            if (hints == null && length >= HINTS) {
-                int v = at + OPTION_HEAD;
-                hints = new EdnsCallOption((in[v] & 1) != 0, (long) u16(in, v + 1) << 16 | u16(in, v + 3));
+            if (callOption == null && length >= CALL_OPTION_DATA_BYTES) {
+                int data = offset + OPTION_HEADER_BYTES;
+                callOption = new EdnsCallOption(
+                        (message[data] & 1) != 0, (long) readU16(message, data + 1) << 16 | readU16(message, data + 3));
             }
-            at += OPTION_HEAD + length;
+            offset += OPTION_HEADER_BYTES + length;
         }
-        return new FastPathQuery(in, end, number, true, u16(in, end + 3), hints == null ? EdnsCallOption.NONE : hints);
+        return new FastPathQuery(
+                message,
+                questionEnd,
+                number,
+                true,
+                readU16(message, questionEnd + 3),
+                callOption == null ? EdnsCallOption.NONE : callOption);
     }
 
-    private static int u16(byte[] in, int at) {
-        return (in[at] & 0xff) << 8 | in[at + 1] & 0xff;
+    private static int readU16(byte[] message, int offset) {
+        return (message[offset] & 0xff) << 8 | message[offset + 1] & 0xff;
     }
 
-    /** The id that its caller gave it. */
+    /** Returns the message ID. */
     public int id() {
-        return u16(bytes, 0);
+        return readU16(bytes, 0);
     }
 
-    /** The digits asked for. */
+    /** Returns the number asked for. */
     public String number() {
         return number;
     }
 
-    /** Whether it came with an OPT record, so that its answer may have one. */
+    /** Returns whether the query has an OPT record, without which the response must not have one. */
     public boolean hasEdns() {
         return hasEdns;
     }
 
-    /** Octets that its caller takes by UDP. */
+    /** Returns the size of the largest UDP response that the caller accepts. */
     public int maxResponseBytes() {
-        return Math.max(DnsCodec.MAX_UDP_BYTES_WITHOUT_EDNS, Math.min(DnsCodec.MAX_UDP_RESPONSE_BYTES, payload));
+        return Math.max(
+                DnsCodec.MAX_UDP_BYTES_WITHOUT_EDNS, Math.min(DnsCodec.MAX_UDP_RESPONSE_BYTES, udpPayloadBytes));
     }
 
-    /** What its caller says of itself. */
+    /** Returns the EDNS option of the caller. */
     public EdnsCallOption callOption() {
         return callOption;
     }
 
-    /** The whole message as it came. */
+    /** Returns the whole message as received. */
     public byte[] bytes() {
         return bytes;
     }
 
-    /** Where its question ends: the part that an answer repeats. */
+    /** Returns the offset of the end of the question section; a response repeats the message up to here. */
     int questionEndOffset() {
         return questionEndOffset;
     }
 
-    /** A fingerprint of id, number and where it came from: the same for the same question sent again. */
+    /** Returns an FNV hash of source, message ID and number, which is the same for a retransmitted query. */
     public long fingerprint(long source) {
-        long h = (FNV_OFFSET ^ source) * FNV_PRIME;
-        h = (h ^ id()) * FNV_PRIME;
+        long hash = (FNV_OFFSET_BASIS ^ source) * FNV_PRIME;
+        hash = (hash ^ id()) * FNV_PRIME;
         for (int i = 0; i < number.length(); i++) {
-            h = (h ^ number.charAt(i)) * FNV_PRIME;
+            hash = (hash ^ number.charAt(i)) * FNV_PRIME;
         }
-        return h ^ h >>> 32;
+        return hash ^ hash >>> 32;
     }
 
     @Override
--- a/src/main/java/damsonseam/dns/FastPathResponse.java
+++ b/src/main/java/damsonseam/dns/FastPathResponse.java
@@ -6,114 +6,137 @@
 import org.xbill.DNS.Rcode;
 import org.xbill.DNS.Type;
 
-/** Answers to plain questions, octet for octet what {@link EnumResponses} gives for the same, written in one go. */
+/**
+ * Encodes responses to fast-path queries directly, without dnsjava's message objects. The bytes are the same as
+ * those of {@link EnumResponses} for the same query and answer.
+ */
 public final class FastPathResponse {
-    private static final int POINTER_TO_QUESTION = 0xc00c;
-    private static final int EDE = 15;
-    private static final int HINTS = 5;
-    private static final int MOST_STRING = 255;
-    private static final byte[] RULE = {0, 100, 0, 10, 1, 'u', 7, 'E', '2', 'U', '+', 's', 'i', 'p'};
+    private static final int QUESTION_NAME_POINTER = 0xc00c;
+    private static final int EDE_OPTION_CODE = 15;
+    private static final int CALL_OPTION_DATA_BYTES = 5;
+    private static final int MAX_CHARACTER_STRING_BYTES = 255;
+    /** NAPTR data before the regular expression: order 100, preference 10, flags "u", service "E2U+sip". */
+    private static final byte[] NAPTR_PREFIX = {0, 100, 0, 10, 1, 'u', 7, 'E', '2', 'U', '+', 's', 'i', 'p'};
 
     private final byte[] out;
-    private int at;
+    private int position;
 
     private FastPathResponse(int size) {
         out = new byte[size];
     }
 
-    /** The final answer of a call, or null where it does not fit this form and must go the long way. */
-    static byte[] encode(FastPathQuery query, long call, FinalAnswer answer, int limit) {
+    /** Encodes the final answer of a call; returns null if only {@link EnumResponses} can encode it. */
+    static byte[] encode(FastPathQuery query, long call, FinalAnswer answer, int maxBytes) {
         return switch (answer.kind()) {
-            case STANDS -> stands(query, Long.toHexString(call), answer.server(), limit);
-            case REFUSED -> encodeRefused(query, Math.round(answer.returnAfter()), answer.why(), limit);
-            case FAILED -> encodeFailed(query, answer.why(), limit);
+            case STANDS -> encodeEstablished(query, Long.toHexString(call), answer.server(), maxBytes);
+            case REFUSED -> encodeRefused(query, Math.round(answer.returnAfter()), answer.why(), maxBytes);
+            case FAILED -> encodeFailed(query, answer.why(), maxBytes);
             default -> null;
         };
     }
 
-    private static byte[] stands(FastPathQuery query, String call, String server, int limit) {
-        byte[] rule = ("!^.*$!sip:" + call + "@" + server + "!").getBytes(StandardCharsets.ISO_8859_1);
-        int data = RULE.length + 1 + rule.length + 1;
-        FastPathResponse reply = start(query, Rcode.NOERROR, 1, 12 + data + (query.hasEdns() ? 11 : 0));
-        // A name with letters beyond ASCII or a backslash would have to be escaped: dnsjava knows how.
-        if (rule.length > MOST_STRING
-                || reply.out.length > limit
+    private static byte[] encodeEstablished(FastPathQuery query, String call, String server, int maxBytes) {
+        byte[] regexp = ("!^.*$!sip:" + call + "@" + server + "!").getBytes(StandardCharsets.ISO_8859_1);
+        int dataBytes = NAPTR_PREFIX.length + 1 + regexp.length + 1;
+        FastPathResponse response = startResponse(query, Rcode.NOERROR, 1, 12 + dataBytes + (query.hasEdns() ? 11 : 0));
+        // Non-ASCII characters and backslashes have to be escaped, which is left to dnsjava.
+        if (regexp.length > MAX_CHARACTER_STRING_BYTES
+                || response.out.length > maxBytes
                 || server.indexOf('\\') >= 0
                 || server.chars().anyMatch(c -> c < ' ' || c > '~')) {
             return null;
         }
-        reply.u16(POINTER_TO_QUESTION)
-                .u16(Type.NAPTR)
-                .u16(DClass.IN)
-                .u16(0)
-                .u16(0)
-                .u16(data)
-                .octets(RULE);
-        reply.out[reply.at++] = (byte) rule.length;
-        reply.octets(rule).at++;
+        response.writeU16(QUESTION_NAME_POINTER)
+                .writeU16(Type.NAPTR)
+                .writeU16(DClass.IN)
+                .writeU16(0)
+                .writeU16(0)
+                .writeU16(dataBytes)
+                .write(NAPTR_PREFIX);
+        response.out[response.position++] = (byte) regexp.length;
+        response.write(regexp).position++;
         if (query.hasEdns()) {
-            reply.opt(0);
+            response.writeOpt(0);
         }
-        return reply.out;
+        return response.out;
     }
 
-    /** Refused, with advice how long to stay away, in milliseconds. */
-    public static byte[] encodeRefused(FastPathQuery query, long wait, String why, int limit) {
+    /**
+     * Encodes a refusal; returns null if it is longer than {@code maxBytes}.
+     *
+     * @param waitMs advised wait before a redial, 0 for none
+     */
+    public static byte[] encodeRefused(FastPathQuery query, long waitMs, String reason, int maxBytes) {
         if (!query.hasEdns()) {
-            return start(query, Rcode.REFUSED, 0, 0).out;
+            return startResponse(query, Rcode.REFUSED, 0, 0).out;
         }
-        byte[] text = (why + (wait > 0 ? "; return after " + wait + " ms" : "")).getBytes(StandardCharsets.UTF_8);
-        FastPathResponse reply = start(query, Rcode.REFUSED, 0, 11 + 4 + HINTS + 6 + text.length);
-        if (reply.out.length > limit) {
+        byte[] text =
+                (reason + (waitMs > 0 ? "; return after " + waitMs + " ms" : "")).getBytes(StandardCharsets.UTF_8);
+        FastPathResponse response =
+                startResponse(query, Rcode.REFUSED, 0, 11 + 4 + CALL_OPTION_DATA_BYTES + 6 + text.length);
+        if (response.out.length > maxBytes) {
             return null;
         }
-        int ms = (int) Math.min(Integer.MAX_VALUE, wait);
-        reply.opt(4 + HINTS + 6 + text.length).u16(EdnsCallOption.CODE).u16(HINTS);
-        reply.out[reply.at++] = 0;
-        reply.u16(ms >>> 16).u16(ms & 0xffff);
-        return reply.error(EnumResponses.EDE_REFUSED, text);
+        int cappedWaitMs = (int) Math.min(Integer.MAX_VALUE, waitMs);
+        response.writeOpt(4 + CALL_OPTION_DATA_BYTES + 6 + text.length)
+                .writeU16(EdnsCallOption.CODE)
+                .writeU16(CALL_OPTION_DATA_BYTES);
+        response.out[response.position++] = 0;
+        response.writeU16(cappedWaitMs >>> 16).writeU16(cappedWaitMs & 0xffff);
+        return response.writeError(EnumResponses.EDE_REFUSED, text);
     }
 
-    /** Failed: its caller's time is over, or nothing could take it. */
-    public static byte[] encodeFailed(FastPathQuery query, String why, int limit) {
+    /** Encodes a failure: the caller's time is over, or no calculator could take the call; null if it is too long. */
+    public static byte[] encodeFailed(FastPathQuery query, String reason, int maxBytes) {
         if (!query.hasEdns()) {
-            return start(query, Rcode.SERVFAIL, 0, 0).out;
+            return startResponse(query, Rcode.SERVFAIL, 0, 0).out;
         }
-        byte[] text = why.getBytes(StandardCharsets.UTF_8);
-        FastPathResponse reply = start(query, Rcode.SERVFAIL, 0, 11 + 6 + text.length);
-        return reply.out.length > limit ? null : reply.opt(6 + text.length).error(EnumResponses.EDE_FAILED, text);
+        byte[] text = reason.getBytes(StandardCharsets.UTF_8);
+        FastPathResponse response = startResponse(query, Rcode.SERVFAIL, 0, 11 + 6 + text.length);
+        return response.out.length > maxBytes
+                ? null
+                : response.writeOpt(6 + text.length).writeError(EnumResponses.EDE_FAILED, text);
     }
 
-    private static FastPathResponse start(FastPathQuery query, int rcode, int answers, int more) {
-        FastPathResponse reply = new FastPathResponse(query.questionEndOffset() + more);
-        System.arraycopy(query.bytes(), 0, reply.out, 0, query.questionEndOffset());
-        // QR, the caller's RD, AA where this front answers for the number; what else the caller set is not kept.
-        reply.out[2] = (byte) (0x80 | query.bytes()[2] & 0x01 | (rcode == Rcode.REFUSED ? 0 : 0x04));
-        reply.out[3] = (byte) rcode;
-        reply.out[7] = (byte) answers;
-        reply.out[11] = (byte) (query.hasEdns() ? 1 : 0);
-        reply.at = query.questionEndOffset();
-        return reply;
+    private static FastPathResponse startResponse(
+            FastPathQuery query, int rcode, int answerCount, int bytesAfterQuestion) {
+        FastPathResponse response = new FastPathResponse(query.questionEndOffset() + bytesAfterQuestion);
+        System.arraycopy(query.bytes(), 0, response.out, 0, query.questionEndOffset());
+        // QR, the caller's RD, and AA unless refused; other flags of the query are not copied.
+        response.out[2] = (byte) (0x80 | query.bytes()[2] & 0x01 | (rcode == Rcode.REFUSED ? 0 : 0x04));
+        response.out[3] = (byte) rcode;
+        response.out[7] = (byte) answerCount;
+        response.out[11] = (byte) (query.hasEdns() ? 1 : 0);
+        response.position = query.questionEndOffset();
+        return response;
     }
 
-    private FastPathResponse opt(int length) {
-        at++;
-        return u16(Type.OPT).u16(DnsCodec.MAX_UDP_RESPONSE_BYTES).u16(0).u16(0).u16(length);
+    private FastPathResponse writeOpt(int optionsBytes) {
+        position++;
+        return writeU16(Type.OPT)
+                .writeU16(DnsCodec.MAX_UDP_RESPONSE_BYTES)
+                .writeU16(0)
+                .writeU16(0)
+                .writeU16(optionsBytes);
     }
 
-    private byte[] error(int code, byte[] text) {
-        return u16(EDE).u16(2 + text.length).u16(code).octets(text).out;
+    private byte[] writeError(int code, byte[] text) {
+        return writeU16(EDE_OPTION_CODE)
+                .writeU16(2 + text.length)
+                .writeU16(code)
+                .write(text)
+                .out;
     }
 
-    private FastPathResponse u16(int value) {
-        out[at++] = (byte) (value >>> 8);
-        out[at++] = (byte) value;
+    private FastPathResponse writeU16(int value) {
+        out[position++] = (byte) (value >>> 8);
+        out[position++] = (byte) value;
         return this;
     }
 
-    private FastPathResponse octets(byte[] what) {
-        System.arraycopy(what, 0, out, at, what.length);
-        at += what.length;
+    private FastPathResponse write(byte[] value) {
+        System.arraycopy(value, 0, out, position, value.length);
+        position += value.length;
         return this;
     }
 }
--- a/src/main/java/damsonseam/dns/Resolver.java
+++ b/src/main/java/damsonseam/dns/Resolver.java
@@ -23,83 +23,86 @@
 import org.xbill.DNS.Type;
 
 /**
- * Looks numbers up at the authorities of the ENUM zone. Calls for one number share one look-up. Each question
- * goes out with a random id from a random socket and with the case of its letters drawn at random (RFC 5452);
- * answers that do not fit all of it are passed over, and where many come the question moves to TCP. Silence
- * moves it to the next authority, as do answers of a lame one. While authorities are silent, an old answer is
- * given after a short time (RFC 8767 5). Time is passed in, sockets are behind {@link Output}.
+ * Looks numbers up at the authoritative name servers of the ENUM zone. Calls for one number share one lookup. Each
+ * query has a random message ID, a random socket and a name whose letters are in random case (RFC 5452); a response
+ * that does not match all of them is ignored, and after several such responses the lookup moves to TCP. A timeout or
+ * a lame response moves it to the next authority. If no response arrives within a short time, a stale result from
+ * the cache is used (RFC 8767 section 5).
+ *
+ * <p>Not thread-safe. Times are in milliseconds; the caller supplies the clock, and {@link Output} the sockets. The
+ * count of lookups in progress and of queries per lookup is bounded by {@link Limits}.
  */
 public final class Resolver implements Ports.Lookups {
-    /** Answers with the wrong id or question after which a question is asked over TCP: somebody is guessing. */
-    private static final int MOST_MISMATCHES = 4;
+    /** Mismatched responses after which a lookup moves to TCP, as an attacker may be guessing message IDs. */
+    private static final int MAX_MISMATCHES = 4;
 
-    private static final int EDNS_SIZE = DnsCodec.MAX_UDP_RESPONSE_BYTES;
+    private static final int EDNS_UDP_PAYLOAD_BYTES = DnsCodec.MAX_UDP_RESPONSE_BYTES;
 
-    /** Where questions go. */
+    /** Sends queries and receives the results of lookups. */
     public interface Output {
-        /** Sends a question from the socket with this number. */
-        void sendUdp(int authority, int socket, byte[] question);
+        /** Sends a query over UDP from the socket with this index. */
+        void sendUdp(int authority, int socket, byte[] query);
 
-        /** Asks over a stream; the answer comes to {@link #onResponse} with {@link #TCP_SOCKET} as its socket. */
-        void sendTcp(int authority, byte[] question);
+        /** Sends a query over TCP; {@link #onResponse} gets {@link #TCP_SOCKET} as the socket of its response. */
+        void sendTcp(int authority, byte[] query);
 
-        /** The look-up of a call is done. */
+        /** Reports the result of a lookup to the call that requested it. */
         void onLookupComplete(double now, long call, Candidates candidates);
     }
 
-    /** Stands for a stream where answers name the socket that they came to. */
+    /** Socket index of responses that arrive over TCP. */
     public static final int TCP_SOCKET = -1;
 
     /**
-     * Limits of the resolver.
+     * The limits of a resolver.
      *
-     * @param udpSockets UDP sockets to draw from
-     * @param maxQueries questions sent for one look-up at most
-     * @param maxPendingLookups look-ups out at one time at most; one more has failed at once
-     * @param staleAfterMs after how long an old answer is given where there is one, in milliseconds
+     * @param udpSockets count of UDP sockets, of which each query uses a random one
+     * @param maxQueries maximum count of queries per lookup
+     * @param maxPendingLookups maximum count of lookups in progress; a further one fails at once
+     * @param staleAfterMs time without a response after which a stale result is used if there is one, in milliseconds
      */
     public record Limits(int udpSockets, int maxQueries, int maxPendingLookups, double staleAfterMs) {}
 
-    /** Counts for reports. */
+    /** Counters for reports. */
     public static final class Counts {
-        /** Look-ups answered from the cache. */
+        /** Calls answered from the cache with a fresh result. */
         public long cacheHits;
-        /** Look-ups answered with an old answer. */
+        /** Calls answered with a stale result. */
         public long staleResults;
-        /** Look-ups that joined one that was out. */
+        /** Calls that joined a lookup in progress. */
         public long coalesced;
-        /** Questions sent. */
+        /** Queries sent, over UDP and TCP. */
         public long queriesSent;
-        /** Answers that fitted no question: late, forged or from elsewhere. */
+        /** Responses that matched no query: late, forged or from another sender. */
         public long mismatchedResponses;
-        /** Answers of authorities that do not serve the zone. */
+        /** Responses of authorities that do not serve the zone. */
         public long lameResponses;
-        /** Questions asked over TCP. */
+        /** Queries sent over TCP. */
         public long tcpQueries;
-        /** Look-ups that failed. */
+        /** Calls whose lookup failed without a stale result. */
         public long failedLookups;
     }
 
-    private record Asked(int id, int authority, int socket, Name name, double at) {}
+    private record Query(int id, int authority, int socket, Name name, double sentAt) {}
 
-    private record Waiting(long call, double deadline) {}
+    private record WaitingCall(long call, double deadline) {}
 
-    /** One look-up: the questions out for it and the calls that wait. */
+    /** One lookup: its outstanding queries and the calls that wait for its result. */
     private static final class Lookup {
         final String number;
-        final List<Waiting> waiting = new ArrayList<>(1);
-        final List<Asked> asked = new ArrayList<>(2);
-        final int[] askedOf;
-        int tries;
+        final List<WaitingCall> waitingCalls = new ArrayList<>(1);
+        final List<Query> queries = new ArrayList<>(2);
+        final int[] queriesByAuthority;
+        int queriesSent;
         int mismatches;
         double deadline;
-        Timers.Timer timer;
+        Timers.Timer queryTimer;
         Timers.Timer staleTimer;
-        Candidates stale;
+        Candidates staleResult;
 
         Lookup(String number, int authorities) {
             this.number = number;
-            askedOf = new int[authorities];
+            queriesByAuthority = new int[authorities];
         }
     }
 
@@ -109,17 +112,17 @@
     private final Timers timers;
     private final SplittableRandom random;
     private final Limits limits;
-    private final Output pendingLookups;
+    private final Output output;
     private final Map<String, Lookup> lookups = new HashMap<>();
-    /** Look-ups by the id of each question out: ids may be shared, so each has a short list. */
-    private final Map<Integer, List<Lookup>> byId = new HashMap<>();
-    /** Answers known without asking; no more than the calls of one turn. */
-    private final ArrayDeque<Runnable> known = new ArrayDeque<>();
+    /** Lookups by the message ID of each outstanding query; a list, as random IDs may coincide. */
+    private final Map<Integer, List<Lookup>> lookupsByMessageId = new HashMap<>();
+    /** Results known without a query, at most one per call of the current event-loop iteration. */
+    private final ArrayDeque<Runnable> knownResults = new ArrayDeque<>();
 
     private final Counts counts = new Counts();
     private double now;
 
-    /** A resolver for one zone. */
+    /** Creates a resolver for one zone. */
     public Resolver(
             Name suffix,
             LookupCache cache,
@@ -127,126 +130,126 @@
             Timers timers,
             long seed,
             Limits limits,
-            Output out) {
+            Output output) {
         this.suffix = suffix;
         this.cache = cache;
         this.authorities = authorities;
         this.timers = timers;
         this.limits = limits;
-        this.pendingLookups = out;
+        this.output = output;
         random = new SplittableRandom(seed);
     }
 
-    /** Moves the clock; call it before anything else of a moment. */
+    /** Advances the clock; must be called before the other events of the same time. */
     public void advanceClock(double at) {
         now = Math.max(now, at);
     }
 
-    // ---- Asking -----------------------------------------------------------------------------------------
+    // ---- Queries ----------------------------------------------------------------------------------------
 
     @Override
     public void lookUp(long call, String number, double deadline) {
-        LookupCache.CachedResult kept = cache.find(number, now);
-        if (kept != null && kept.isFresh()) {
+        LookupCache.CachedResult cached = cache.find(number, now);
+        if (cached != null && cached.isFresh()) {
             counts.cacheHits++;
-            tell(call, kept.candidates());
+            reportLater(call, cached.candidates());
             return;
         }
-        Candidates stale = kept == null ? null : kept.candidates();
-        if (kept != null && kept.failedRecently()) {
+        Candidates stale = cached == null ? null : cached.candidates();
+        if (cached != null && cached.failedRecently()) {
             counts.staleResults += stale == null ? 0 : 1;
             counts.failedLookups += stale == null ? 1 : 0;
-            tell(call, stale == null ? Candidates.UNAVAILABLE : stale);
+            reportLater(call, stale == null ? Candidates.UNAVAILABLE : stale);
             return;
         }
         Lookup lookup = lookups.get(number);
         if (lookup != null) {
             counts.coalesced++;
-            join(lookup, call, deadline);
+            addWaitingCall(lookup, call, deadline);
             return;
         }
         if (lookups.size() >= limits.maxPendingLookups()) {
             counts.failedLookups++;
-            tell(call, stale == null ? Candidates.UNAVAILABLE : stale);
+            reportLater(call, stale == null ? Candidates.UNAVAILABLE : stale);
             return;
         }
         lookup = new Lookup(number, authorities.count());
-        lookup.stale = stale;
+        lookup.staleResult = stale;
         lookups.put(number, lookup);
-        join(lookup, call, deadline);
+        addWaitingCall(lookup, call, deadline);
         if (stale != null) {
-            Lookup late = lookup;
+            Lookup pending = lookup;
             lookup.staleTimer = timers.set(now + limits.staleAfterMs(), at -> {
                 advanceClock(at);
-                giveStale(late);
+                reportStale(pending);
             });
         }
-        ask(lookup);
+        sendNextQuery(lookup);
     }
 
-    private void join(Lookup lookup, long call, double deadline) {
-        lookup.waiting.add(new Waiting(call, deadline));
+    private void addWaitingCall(Lookup lookup, long call, double deadline) {
+        lookup.waitingCalls.add(new WaitingCall(call, deadline));
         lookup.deadline = Math.max(lookup.deadline, deadline);
     }
 
-    /** The answer must not come from within the caller's own event, but in the same turn. */
-    private void tell(long call, Candidates candidates) {
-        known.add(() -> pendingLookups.onLookupComplete(now, call, candidates));
+    /** Queues a known result: it must not be reported within the call of {@code lookUp}, but in the same iteration. */
+    private void reportLater(long call, Candidates candidates) {
+        knownResults.add(() -> output.onLookupComplete(now, call, candidates));
     }
 
-    /** Tells what was known without asking; call it once a turn, before the core acts. */
+    /** Reports the results known without a query; called once per event-loop iteration, before the core acts. */
     public void deliverKnownResults(double at) {
         advanceClock(at);
-        for (Runnable answer = known.poll(); answer != null; answer = known.poll()) {
-            answer.run();
+        for (Runnable result = knownResults.poll(); result != null; result = knownResults.poll()) {
+            result.run();
         }
     }
 
-    private void ask(Lookup lookup) {
-        if (lookup.tries >= limits.maxQueries() || now >= lookup.deadline) {
+    private void sendNextQuery(Lookup lookup) {
+        if (lookup.queriesSent >= limits.maxQueries() || now >= lookup.deadline) {
             fail(lookup);
             return;
         }
-        int authority = authorities.select(lookup.askedOf, now);
-        send(lookup, authority, lookup.mismatches >= MOST_MISMATCHES);
+        int authority = authorities.select(lookup.queriesByAuthority, now);
+        sendQuery(lookup, authority, lookup.mismatches >= MAX_MISMATCHES);
     }
 
-    private void send(Lookup lookup, int authority, boolean stream) {
-        lookup.tries++;
-        lookup.askedOf[authority]++;
+    private void sendQuery(Lookup lookup, int authority, boolean tcp) {
+        lookup.queriesSent++;
+        lookup.queriesByAuthority[authority]++;
         int id = random.nextInt(1 << 16);
-        int socket = stream ? TCP_SOCKET : random.nextInt(limits.udpSockets());
-        Name name = mixedCase(E164Name.toName(lookup.number, suffix));
-        Asked asked = new Asked(id, authority, socket, name, now);
-        lookup.asked.add(asked);
-        byId.computeIfAbsent(id, i -> new ArrayList<>(1)).add(lookup);
+        int socket = tcp ? TCP_SOCKET : random.nextInt(limits.udpSockets());
+        Name name = randomizeCase(E164Name.toName(lookup.number, suffix));
+        Query query = new Query(id, authority, socket, name, now);
+        lookup.queries.add(query);
+        lookupsByMessageId.computeIfAbsent(id, i -> new ArrayList<>(1)).add(lookup);
         counts.queriesSent++;
-        byte[] question = question(id, name);
-        timers.cancel(lookup.timer);
-        double until = now + authorities.timeoutMs(authority);
-        lookup.timer = timers.set(Math.min(until, lookup.deadline), at -> {
+        byte[] encoded = encodeQuery(id, name);
+        timers.cancel(lookup.queryTimer);
+        double timeoutAt = now + authorities.timeoutMs(authority);
+        lookup.queryTimer = timers.set(Math.min(timeoutAt, lookup.deadline), at -> {
             advanceClock(at);
-            if (now >= until) {
+            if (now >= timeoutAt) {
                 authorities.recordTimeout(authority);
             }
-            ask(lookup);
+            sendNextQuery(lookup);
         });
-        if (stream) {
+        if (tcp) {
             counts.tcpQueries++;
-            pendingLookups.sendTcp(authority, question);
+            output.sendTcp(authority, encoded);
         } else {
-            pendingLookups.sendUdp(authority, socket, question);
+            output.sendUdp(authority, socket, encoded);
         }
     }
 
-    private static byte[] question(int id, Name name) {
+    private static byte[] encodeQuery(int id, Name name) {
         Message message = new Message(id);
         message.addRecord(Record.newRecord(name, Type.NAPTR, DClass.IN), Section.QUESTION);
-        message.addRecord(new OPTRecord(EDNS_SIZE, 0, 0), Section.ADDITIONAL);
+        message.addRecord(new OPTRecord(EDNS_UDP_PAYLOAD_BYTES, 0, 0), Section.ADDITIONAL);
         return message.toWire();
     }
 
-    private Name mixedCase(Name name) {
+    private Name randomizeCase(Name name) {
         StringBuilder mixed = new StringBuilder(name.toString());
         for (int i = 0; i < mixed.length(); i++) {
             char c = mixed.charAt(i);
@@ -261,84 +264,84 @@
         }
     }
 
-    // ---- Answers ----------------------------------------------------------------------------------------
+    // ---- Responses --------------------------------------------------------------------------------------
 
-    /** Octets came from an authority to a socket, or over a stream. */
-    public void onResponse(double at, int authority, int socket, byte[] octets) {
+    /** Handles a message from an authority that arrived at a UDP socket or over TCP. */
+    public void onResponse(double at, int authority, int socket, byte[] bytes) {
         advanceClock(at);
         Message message;
         try {
-            message = DnsCodec.decode(octets);
+            message = DnsCodec.decode(bytes);
         } catch (DnsFormatException e) {
-            mismatch(DnsCodec.messageId(octets));
+            recordMismatch(DnsCodec.messageId(bytes));
             return;
         }
         int id = message.getHeader().getID();
-        for (Lookup lookup : List.copyOf(byId.getOrDefault(id, List.of()))) {
-            for (Asked asked : lookup.asked) {
-                if (asked.id() == id && fits(asked, authority, socket, message)) {
-                    answered(lookup, asked, message);
+        for (Lookup lookup : List.copyOf(lookupsByMessageId.getOrDefault(id, List.of()))) {
+            for (Query query : lookup.queries) {
+                if (query.id() == id && matches(query, authority, socket, message)) {
+                    handleMatched(lookup, query, message);
                     return;
                 }
             }
         }
-        mismatch(id);
+        recordMismatch(id);
     }
 
-    private static boolean fits(Asked asked, int authority, int socket, Message message) {
+    private static boolean matches(Query query, int authority, int socket, Message message) {
         Record question = message.getQuestion();
-        return asked.authority() == authority
-                && asked.socket() == socket
+        return query.authority() == authority
+                && query.socket() == socket
                 && question != null
                 && message.getHeader().getFlag(Flags.QR)
                 && question.getType() == Type.NAPTR
                 && question.getDClass() == DClass.IN
-                && question.getName().toString().equals(asked.name().toString());
+                && question.getName().toString().equals(query.name().toString());
     }
 
-    /** Guards against guessed answers: those that hit an id but miss the rest count against its question. */
-    private void mismatch(int id) {
+    /** Counts a mismatched response against the lookups with its message ID, as a defence against guessed responses. */
+    private void recordMismatch(int id) {
         counts.mismatchedResponses++;
-        for (Lookup lookup : List.copyOf(byId.getOrDefault(id, List.of()))) {
-            if (++lookup.mismatches == MOST_MISMATCHES) {
-                ask(lookup);
+        for (Lookup lookup : List.copyOf(lookupsByMessageId.getOrDefault(id, List.of()))) {
+            if (++lookup.mismatches == MAX_MISMATCHES) {
+                sendNextQuery(lookup);
             }
         }
     }
 
-    private void answered(Lookup lookup, Asked asked, Message message) {
-        authorities.recordResponse(asked.authority(), now - asked.at());
-        if (message.getHeader().getFlag(Flags.TC) && asked.socket() != TCP_SOCKET) {
-            send(lookup, asked.authority(), true);
+    private void handleMatched(Lookup lookup, Query query, Message message) {
+        authorities.recordResponse(query.authority(), now - query.sentAt());
+        if (message.getHeader().getFlag(Flags.TC) && query.socket() != TCP_SOCKET) {
+            sendQuery(lookup, query.authority(), true);
             return;
         }
         int rcode = message.getRcode();
         if (rcode == Rcode.NXDOMAIN) {
-            found(lookup, Candidates.UNKNOWN, negativeTtl(message));
+            succeed(lookup, Candidates.UNKNOWN, negativeTtlS(message));
         } else if (rcode != Rcode.NOERROR || !message.getHeader().getFlag(Flags.AA)) {
             counts.lameResponses++;
-            authorities.recordLame(asked.authority(), now);
-            ask(lookup);
+            authorities.recordLame(query.authority(), now);
+            sendNextQuery(lookup);
         } else {
             List<NAPTRRecord> rules = new ArrayList<>();
-            long ttl = Long.MAX_VALUE;
+            long ttlS = Long.MAX_VALUE;
             for (Record record : message.getSection(Section.ANSWER)) {
-                if (record instanceof NAPTRRecord rule && rule.getName().equals(asked.name())) {
+                if (record instanceof NAPTRRecord rule && rule.getName().equals(query.name())) {
                     rules.add(rule);
-                    ttl = Math.min(ttl, rule.getTTL());
+                    ttlS = Math.min(ttlS, rule.getTTL());
                 }
             }
             List<String> servers = NaptrRules.serverHosts(lookup.number, rules);
-            boolean none = servers.isEmpty();
-            found(
+            boolean noServers = servers.isEmpty();
+            succeed(
                     lookup,
-                    none ? Candidates.UNKNOWN : Candidates.of(servers),
-                    rules.isEmpty() ? negativeTtl(message) : ttl);
+                    noServers ? Candidates.UNKNOWN : Candidates.of(servers),
+                    rules.isEmpty() ? negativeTtlS(message) : ttlS);
         }
     }
 
-    /** The lesser of the SOA's own lifetime and its minimum (RFC 2308 5); without an SOA nothing is kept. */
-    private static long negativeTtl(Message message) {
+    /** Returns the lesser of the SOA record's TTL and MINIMUM (RFC 2308 section 5), or 0 without an SOA record. */
+    private static long negativeTtlS(Message message) {
         for (Record record : message.getSection(Section.AUTHORITY)) {
             if (record instanceof SOARecord soa) {
                 return Math.min(soa.getTTL(), soa.getMinimum());
@@ -347,56 +350,56 @@
         return 0;
     }
 
-    private void found(Lookup lookup, Candidates candidates, long ttl) {
-        cache.put(lookup.number, candidates, ttl, now);
-        close(lookup);
-        lookup.waiting.forEach(w -> pendingLookups.onLookupComplete(now, w.call(), candidates));
+    private void succeed(Lookup lookup, Candidates candidates, long ttlS) {
+        cache.put(lookup.number, candidates, ttlS, now);
+        remove(lookup);
+        lookup.waitingCalls.forEach(w -> output.onLookupComplete(now, w.call(), candidates));
     }
 
     private void fail(Lookup lookup) {
         cache.recordFailure(lookup.number, now);
-        close(lookup);
-        boolean old = lookup.stale != null;
-        counts.staleResults += old ? lookup.waiting.size() : 0;
-        counts.failedLookups += old ? 0 : lookup.waiting.size();
-        lookup.waiting.forEach(
-                w -> pendingLookups.onLookupComplete(now, w.call(), old ? lookup.stale : Candidates.UNAVAILABLE));
+        remove(lookup);
+        boolean hasStaleResult = lookup.staleResult != null;
+        counts.staleResults += hasStaleResult ? lookup.waitingCalls.size() : 0;
+        counts.failedLookups += hasStaleResult ? 0 : lookup.waitingCalls.size();
+        lookup.waitingCalls.forEach(w ->
+                output.onLookupComplete(now, w.call(), hasStaleResult ? lookup.staleResult : Candidates.UNAVAILABLE));
     }
 
-    /** The calls that wait get the old answer; the look-up goes on for those to come. */
-    private void giveStale(Lookup lookup) {
-        counts.staleResults += lookup.waiting.size();
-        List<Waiting> waiting = List.copyOf(lookup.waiting);
-        lookup.waiting.clear();
-        waiting.forEach(w -> pendingLookups.onLookupComplete(now, w.call(), lookup.stale));
+    /** Reports the stale result to the waiting calls; the lookup continues for the sake of later ones. */
+    private void reportStale(Lookup lookup) {
+        counts.staleResults += lookup.waitingCalls.size();
+        List<WaitingCall> waitingCalls = List.copyOf(lookup.waitingCalls);
+        lookup.waitingCalls.clear();
+        waitingCalls.forEach(w -> output.onLookupComplete(now, w.call(), lookup.staleResult));
     }
 
-    private void close(Lookup lookup) {
-        timers.cancel(lookup.timer);
+    private void remove(Lookup lookup) {
+        timers.cancel(lookup.queryTimer);
         timers.cancel(lookup.staleTimer);
         lookups.remove(lookup.number);
-        for (Asked asked : lookup.asked) {
-            List<Lookup> sharing = byId.get(asked.id());
-            if (sharing != null) {
-                sharing.remove(lookup);
-                if (sharing.isEmpty()) {
-                    byId.remove(asked.id());
+        for (Query query : lookup.queries) {
+            List<Lookup> lookupsWithId = lookupsByMessageId.get(query.id());
+            if (lookupsWithId != null) {
+                lookupsWithId.remove(lookup);
+                if (lookupsWithId.isEmpty()) {
+                    lookupsByMessageId.remove(query.id());
                 }
             }
         }
     }
 
-    /** Look-ups out now. */
+    /** Returns the count of lookups in progress. */
     public int pendingLookups() {
         return lookups.size();
     }
 
-    /** Counts since the start. */
+    /** Returns the counters, which run since the start. */
     public Counts counts() {
         return counts;
     }
 
-    /** What the look-ups left behind. */
+    /** Returns the cache of results. */
     public LookupCache cache() {
         return cache;
     }
--- a/src/main/java/damsonseam/dns/TransactionTable.java
+++ b/src/main/java/damsonseam/dns/TransactionTable.java
@@ -5,57 +5,65 @@
 import java.util.Map;
 
 /**
- * Questions taken lately, so that one sent again is known: while its call is open it adds nothing, after its
- * answer it gets that answer again, byte for byte. The table is bounded; where it is full the oldest answered
- * one makes room, and where none is answered the new question is not taken.
+ * Remembers recent queries in order to recognize a retransmitted query: while its call is open it is ignored, after
+ * that it gets the same response again, byte for byte. The size is bounded. A full table evicts the oldest completed
+ * query; if none is completed, it refuses the new query.
+ *
+ * <p>Not thread-safe. Times are in milliseconds.
  */
 public final class TransactionTable {
 
-    /** What tells one question from another: where it came from, its id, and the number asked for. */
+    /**
+     * Identifies a query.
+     *
+     * @param source where the query came from
+     * @param id the message ID
+     * @param number the number asked for
+     */
     public record Key(Object source, int id, String number) {}
 
-    /** What is known of a question. */
+    /** The state of a query. */
     public static final class Entry {
-        private final double at;
+        private final double createdAt;
         private byte[] response;
 
-        Entry(double at) {
-            this.at = at;
+        Entry(double createdAt) {
+            this.createdAt = createdAt;
         }
 
-        /** The answer given, or null while its call is open. */
+        /** Returns the response, or null while the call is open. */
         public byte[] response() {
             return response;
         }
     }
 
     private final Map<Key, Entry> open = new LinkedHashMap<>();
-    private final Map<Key, Entry> answered = new LinkedHashMap<>();
-    private final int limit;
-    private final double keep;
+    private final Map<Key, Entry> completed = new LinkedHashMap<>();
+    private final int maxEntries;
+    private final double retentionMs;
 
     /**
-     * An empty table.
+     * Creates an empty table.
      *
-     * @param limit questions kept at most
-     * @param keep how long an answer is kept for a question sent again, in milliseconds
+     * @param maxEntries maximum count of queries, open and completed
+     * @param retentionMs how long a response is kept for retransmitted queries, in milliseconds
      */
-    public TransactionTable(int limit, double keep) {
-        this.limit = limit;
-        this.keep = keep;
+    public TransactionTable(int maxEntries, double retentionMs) {
+        this.maxEntries = maxEntries;
+        this.retentionMs = retentionMs;
     }
 
-    /** What is known of this question, or null if it is new. */
+    /** Returns the entry of a query, or null if the query is new. */
     public Entry find(Key key, double now) {
         expire(now);
         Entry entry = open.get(key);
-        return entry != null ? entry : answered.get(key);
+        return entry != null ? entry : completed.get(key);
     }
 
-    /** Takes a new question; false if there is no room. */
+    /** Adds a new query; returns false if the table is full of open ones. */
     public boolean open(Key key, double now) {
-        if (open.size() + answered.size() >= limit) {
-            Iterator<Key> oldest = answered.keySet().iterator();
+        if (open.size() + completed.size() >= maxEntries) {
+            Iterator<Key> oldest = completed.keySet().iterator();
             if (!oldest.hasNext()) {
                 return false;
             }
@@ -66,24 +74,24 @@
         return true;
     }
 
-    /** The question has its answer. */
-    public void complete(Key key, byte[] answer, double now) {
+    /** Stores the response of an open query. */
+    public void complete(Key key, byte[] response, double now) {
         if (open.remove(key) != null) {
             Entry entry = new Entry(now);
-            entry.response = answer;
-            answered.put(key, entry);
+            entry.response = response;
+            completed.put(key, entry);
         }
     }
 
     private void expire(double now) {
-        Iterator<Entry> oldest = answered.values().iterator();
-        while (oldest.hasNext() && oldest.next().at + keep <= now) {
+        Iterator<Entry> oldest = completed.values().iterator();
+        while (oldest.hasNext() && oldest.next().createdAt + retentionMs <= now) {
             oldest.remove();
         }
     }
 
-    /** Questions kept. */
+    /** Returns the count of queries, open and completed. */
     public int size() {
-        return open.size() + answered.size();
+        return open.size() + completed.size();
     }
 }
--- a/src/main/java/damsonseam/dns/package-info.java
+++ b/src/main/java/damsonseam/dns/package-info.java
@@ -1,6 +1,6 @@
 /**
- * ENUM over DNS (RFC 6116): the service that callers ask, and the resolver that looks numbers up at the
- * authorities. Messages are read and written by dnsjava; nothing here opens a socket, keeps a thread or reads
- * a clock.
+ * ENUM over DNS (RFC 6116): the server that callers query, and the resolver that looks numbers up at the authoritative
+ * name servers. Messages are encoded and decoded with dnsjava, apart from a fast path for the common form. No class of
+ * this package opens a socket, starts a thread or reads a clock.
  */
 package damsonseam.dns;
