--- a/src/main/java/damsonseam/core/CallRecord.java
+++ b/src/main/java/damsonseam/core/CallRecord.java
@@ -3,187 +3,187 @@
 import damsonseam.Front.Result;
 
 /**
- * One call from its question to its release. The phases go one way only; each is entered once but for
- * {@code TRYING}, which counts its attempts. A change that the state machine does not have is a defect of the
- * core and is refused loudly.
+ * State machine of one call, from its arrival to its release. Phases advance in one direction only; {@code TRYING}
+ * covers all attempts of the call. A transition that the state machine does not have is a defect of the core and
+ * throws {@link IllegalStateException}.
  */
 public final class CallRecord {
 
-    /** Where a call is. Answered calls that stand stay until their circuit is released. */
+    /** The phases of a call. An established call stays in its phase until its circuit is released. */
     public enum Phase {
         LOOKING_UP,
         TRYING,
-        STANDING,
-        OVER
+        ESTABLISHED,
+        CLOSED
     }
 
     private final long id;
     private final String number;
     private final int callClass;
-    private final boolean redialled;
-    private final double takenAt;
+    private final boolean redial;
+    private final double receivedAt;
     private final double deadline;
-    private Ports.Caller caller;
+    private RouterPorts.Caller caller;
     private Phase phase = Phase.LOOKING_UP;
     private int attempts;
     private String server;
-    private boolean out;
+    private boolean attemptPending;
     private double sentAt;
-    private Result releasing;
-    private double releasedAt;
-    private Timers.Timer deadlineTimer;
-    private Timers.Timer attemptTimer;
+    private Result releaseOutcome;
+    private double releaseStartedAt;
+    private TimerWheel.Timer deadlineTimer;
+    private TimerWheel.Timer attemptTimer;
 
     CallRecord(
             long id,
             String number,
             int callClass,
-            boolean redialled,
-            double takenAt,
+            boolean redial,
+            double receivedAt,
             double deadline,
-            Ports.Caller caller) {
+            RouterPorts.Caller caller) {
         this.id = id;
         this.number = number;
         this.callClass = callClass;
-        this.redialled = redialled;
-        this.takenAt = takenAt;
+        this.redial = redial;
+        this.receivedAt = receivedAt;
         this.deadline = deadline;
         this.caller = caller;
     }
 
-    /** Never repeats, not in the next run of the front either. */
+    /** Returns the call's id, which is never reused, not even after a restart of the front. */
     public long id() {
         return id;
     }
 
-    /** The digits called. */
+    /** Returns the called number's digits. */
     public String number() {
         return number;
     }
 
-    /** Place of its class in the settings. */
+    /** Returns the index of the call's class in the settings. */
     public int callClass() {
         return callClass;
     }
 
-    /** Whether the caller said that it dials again. */
-    public boolean redialled() {
-        return redialled;
+    /** Returns whether the caller marked the call as a redial. */
+    public boolean isRedial() {
+        return redial;
     }
 
-    /** When the front took it. */
-    public double takenAt() {
-        return takenAt;
+    /** Returns when the front received the call. */
+    public double receivedAt() {
+        return receivedAt;
     }
 
-    /** When its caller gives up; the final answer goes out before. */
+    /** Returns when the caller gives up; the final answer is sent before. */
     public double deadline() {
         return deadline;
     }
 
-    /** Where it is. */
+    /** Returns the current phase. */
     public Phase phase() {
         return phase;
     }
 
-    /** Set-ups sent so far, or proved not to have gone. */
+    /** Returns the number of attempts so far, including those whose set-up could not be sent. */
     public int attempts() {
         return attempts;
     }
 
-    /** The server of the last attempt, or null. */
+    /** Returns the server of the last attempt, or null if there was none. */
     public String server() {
         return server;
     }
 
-    /** Whether an attempt is out and unanswered. */
-    public boolean out() {
-        return out;
+    /** Returns whether an attempt is pending, that is, unanswered or still being released. */
+    public boolean hasPendingAttempt() {
+        return attemptPending;
     }
 
-    /** When the last attempt went out. */
+    /** Returns when the set-up of the last attempt was sent. */
     public double sentAt() {
         return sentAt;
     }
 
-    void found() {
-        move(Phase.LOOKING_UP, Phase.TRYING);
+    void startTrying() {
+        transition(Phase.LOOKING_UP, Phase.TRYING);
     }
 
-    int send(String to, double now) {
-        require(phase == Phase.TRYING && !out, "a second attempt while one is out");
+    int startAttempt(String to, double now) {
+        require(phase == Phase.TRYING && !attemptPending, "attempt started while another one is pending");
         server = to;
-        out = true;
+        attemptPending = true;
         sentAt = now;
         return attempts++;
     }
 
-    void attemptOver() {
-        require(out, "the end of an attempt that is not out");
-        out = false;
-        releasing = null;
+    void endAttempt() {
+        require(attemptPending, "no pending attempt to end");
+        attemptPending = false;
+        releaseOutcome = null;
     }
 
-    /** The attempt is given up with this result; it counts as out until its release is proved or waited out. */
-    void release(Result as, double now) {
-        require(out && releasing == null, "a release of an attempt that is not out");
-        releasing = as;
-        releasedAt = now;
+    /** Starts the release of the pending attempt, which stays pending until the release is confirmed or times out. */
+    void startRelease(Result outcome, double now) {
+        require(attemptPending && releaseOutcome == null, "no pending attempt to release");
+        releaseOutcome = outcome;
+        releaseStartedAt = now;
     }
 
-    /** What an attempt that is being released ends in, else null. */
-    Result releasing() {
-        return releasing;
+    /** Returns the outcome of the attempt that is being released, or null if none is. */
+    Result releaseOutcome() {
+        return releaseOutcome;
     }
 
-    /** When the attempt that is being released was given up. */
-    double releasedAt() {
-        return releasedAt;
+    /** Returns when the release of the attempt that is being released was started. */
+    double releaseStartedAt() {
+        return releaseStartedAt;
     }
 
-    void stand() {
-        require(out && releasing == null, "a call that stands without an attempt");
-        out = false;
-        move(Phase.TRYING, Phase.STANDING);
+    void establish() {
+        require(attemptPending && releaseOutcome == null, "call established without a pending attempt");
+        attemptPending = false;
+        transition(Phase.TRYING, Phase.ESTABLISHED);
     }
 
-    /** Ends the call; returns its caller the first time that one is owed an answer, else null. */
-    Ports.Caller close() {
-        phase = Phase.OVER;
+    /** Closes the call; returns its caller if the caller has not been answered yet, else null. */
+    RouterPorts.Caller close() {
+        phase = Phase.CLOSED;
         return takeCaller();
     }
 
-    /** Hands out the caller once, so that no call is answered twice. */
-    Ports.Caller takeCaller() {
-        Ports.Caller owed = caller;
+    /** Returns the caller on the first invocation and null afterwards, so that no call is answered twice. */
+    RouterPorts.Caller takeCaller() {
+        RouterPorts.Caller unanswered = caller;
         caller = null;
-        return owed;
+        return unanswered;
     }
 
-    boolean isAttempt(int attempt) {
+    boolean isCurrentAttempt(int attempt) {
         return attempt == attempts - 1;
     }
 
-    Timers.Timer swapAttemptTimer(Timers.Timer timer) {
-        Timers.Timer old = attemptTimer;
+    TimerWheel.Timer replaceAttemptTimer(TimerWheel.Timer timer) {
+        TimerWheel.Timer old = attemptTimer;
         attemptTimer = timer;
         return old;
     }
 
-    Timers.Timer swapDeadlineTimer(Timers.Timer timer) {
-        Timers.Timer old = deadlineTimer;
+    TimerWheel.Timer replaceDeadlineTimer(TimerWheel.Timer timer) {
+        TimerWheel.Timer old = deadlineTimer;
         deadlineTimer = timer;
         return old;
     }
 
-    private void move(Phase from, Phase to) {
-        require(phase == from, "no way from " + phase + " to " + to);
+    private void transition(Phase from, Phase to) {
+        require(phase == from, "no transition from " + phase + " to " + to);
         phase = to;
     }
 
-    private void require(boolean holds, String what) {
-        if (!holds) {
-            throw new IllegalStateException("call " + id + ": " + what);
+    private void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalStateException("call " + id + ": " + message);
         }
     }
 }
--- a/src/main/java/damsonseam/dns/EnumResponses.java
+++ b/src/main/java/damsonseam/dns/EnumResponses.java
@@ -48,14 +48,14 @@
                 yield encode(query, response, maxBytes);
             }
             case REFUSED -> {
-                long waitMs = Math.round(answer.returnAfter());
+                long waitMs = Math.round(answer.retryAfterMs());
                 yield encode(
                         query,
                         startResponse(query, Rcode.REFUSED),
                         maxBytes,
                         new EdnsCallOption(false, waitMs).toOption(),
                         new ExtendedErrorCodeOption(
-                                EDE_REFUSED, answer.why() + (waitMs > 0 ? "; return after " + waitMs + " ms" : "")));
+                                EDE_REFUSED, answer.reason() + (waitMs > 0 ? "; return after " + waitMs + " ms" : "")));
             }
             case UNKNOWN_NUMBER -> negative(query, Rcode.NXDOMAIN, suffix, maxBytes);
             default ->
@@ -63,7 +63,7 @@
                         query,
                         startResponse(query, Rcode.SERVFAIL),
                         maxBytes,
-                        new ExtendedErrorCodeOption(EDE_FAILED, answer.why()));
+                        new ExtendedErrorCodeOption(EDE_FAILED, answer.reason()));
         };
     }
 
--- a/src/main/java/damsonseam/dns/EnumService.java
+++ b/src/main/java/damsonseam/dns/EnumService.java
@@ -245,7 +245,7 @@
             return null;
         }
         double timeLeftMs = option.timeMs() > 0 ? Math.min(option.timeMs(), entry.patience()) : entry.patience();
-        return router.offered(
+        return router.callReceived(
                 now,
                 query.number(),
                 entry.callClass(),
--- a/src/main/java/damsonseam/dns/FastPathResponse.java
+++ b/src/main/java/damsonseam/dns/FastPathResponse.java
@@ -29,8 +29,8 @@
     static byte[] encode(FastPathQuery query, long call, FinalAnswer answer, int maxBytes) {
         return switch (answer.kind()) {
             case STANDS -> encodeEstablished(query, Long.toHexString(call), answer.server(), maxBytes);
-            case REFUSED -> encodeRefused(query, Math.round(answer.returnAfter()), answer.why(), maxBytes);
-            case FAILED -> encodeFailed(query, answer.why(), maxBytes);
+            case REFUSED -> encodeRefused(query, Math.round(answer.retryAfterMs()), answer.reason(), maxBytes);
+            case FAILED -> encodeFailed(query, answer.reason(), maxBytes);
             default -> null;
         };
     }
--- a/src/main/java/damsonseam/dns/LookupCache.java
+++ b/src/main/java/damsonseam/dns/LookupCache.java
@@ -1,6 +1,6 @@
 package damsonseam.dns;
 
-import damsonseam.core.Candidates;
+import damsonseam.core.LookupResult;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -30,7 +30,7 @@
     private int capacity;
 
     private static final class Entry {
-        Candidates candidates;
+        LookupResult candidates;
         double freshUntil = Double.NEGATIVE_INFINITY;
         double failedUntil = Double.NEGATIVE_INFINITY;
     }
@@ -42,7 +42,7 @@
      * @param isFresh whether the result is fresh rather than stale
      * @param failedRecently whether a lookup has failed within the last second
      */
-    public record CachedResult(Candidates candidates, boolean isFresh, boolean failedRecently) {}
+    public record CachedResult(LookupResult candidates, boolean isFresh, boolean failedRecently) {}
 
     /**
      * Creates an empty cache.
@@ -80,8 +80,8 @@
     }
 
     /** Stores that a number was found, or found not to exist. */
-    public void put(String number, Candidates candidates, long ttlS, double now) {
-        double maxTtlMs = candidates.outcome() == Candidates.Outcome.UNKNOWN ? MAX_NEGATIVE_TTL_MS : MAX_TTL_MS;
+    public void put(String number, LookupResult candidates, long ttlS, double now) {
+        double maxTtlMs = candidates.outcome() == LookupResult.Outcome.NOT_FOUND ? MAX_NEGATIVE_TTL_MS : MAX_TTL_MS;
         Entry entry = entries.computeIfAbsent(number, n -> new Entry());
         entry.candidates = candidates;
         entry.freshUntil = now + Math.min(maxTtlMs, Math.max(0, ttlS) * MS_PER_S);
--- a/src/main/java/damsonseam/dns/Resolver.java
+++ b/src/main/java/damsonseam/dns/Resolver.java
@@ -1,8 +1,8 @@
 package damsonseam.dns;
 
-import damsonseam.core.Candidates;
-import damsonseam.core.Ports;
-import damsonseam.core.Timers;
+import damsonseam.core.LookupResult;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.TimerWheel;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -32,7 +32,7 @@
  * <p>Not thread-safe. Times are in milliseconds; the caller supplies the clock, and {@link Output} the sockets. The
  * count of lookups in progress and of queries per lookup is bounded by {@link Limits}.
  */
-public final class Resolver implements Ports.Lookups {
+public final class Resolver implements RouterPorts.NumberLookup {
     /** Mismatched responses after which a lookup moves to TCP, as an attacker may be guessing message IDs. */
     private static final int MAX_MISMATCHES = 4;
 
@@ -47,7 +47,7 @@
         void sendTcp(int authority, byte[] query);
 
         /** Reports the result of a lookup to the call that requested it. */
-        void onLookupComplete(double now, long call, Candidates candidates);
+        void onLookupComplete(double now, long call, LookupResult candidates);
     }
 
     /** Socket index of responses that arrive over TCP. */
@@ -96,9 +96,9 @@
         int queriesSent;
         int mismatches;
         double deadline;
-        Timers.Timer queryTimer;
-        Timers.Timer staleTimer;
-        Candidates staleResult;
+        TimerWheel.Timer queryTimer;
+        TimerWheel.Timer staleTimer;
+        LookupResult staleResult;
 
         Lookup(String number, int authorities) {
             this.number = number;
@@ -109,7 +109,7 @@
     private final Name suffix;
     private final LookupCache cache;
     private final AuthoritySelector authorities;
-    private final Timers timers;
+    private final TimerWheel timers;
     private final SplittableRandom random;
     private final Limits limits;
     private final Output output;
@@ -127,7 +127,7 @@
             Name suffix,
             LookupCache cache,
             AuthoritySelector authorities,
-            Timers timers,
+            TimerWheel timers,
             long seed,
             Limits limits,
             Output output) {
@@ -155,11 +155,11 @@
             reportLater(call, cached.candidates());
             return;
         }
-        Candidates stale = cached == null ? null : cached.candidates();
+        LookupResult stale = cached == null ? null : cached.candidates();
         if (cached != null && cached.failedRecently()) {
             counts.staleResults += stale == null ? 0 : 1;
             counts.failedLookups += stale == null ? 1 : 0;
-            reportLater(call, stale == null ? Candidates.UNAVAILABLE : stale);
+            reportLater(call, stale == null ? LookupResult.UNAVAILABLE : stale);
             return;
         }
         Lookup lookup = lookups.get(number);
@@ -170,7 +170,7 @@
         }
         if (lookups.size() >= limits.maxPendingLookups()) {
             counts.failedLookups++;
-            reportLater(call, stale == null ? Candidates.UNAVAILABLE : stale);
+            reportLater(call, stale == null ? LookupResult.UNAVAILABLE : stale);
             return;
         }
         lookup = new Lookup(number, authorities.count());
@@ -179,7 +179,7 @@
         addWaitingCall(lookup, call, deadline);
         if (stale != null) {
             Lookup pending = lookup;
-            lookup.staleTimer = timers.set(now + limits.staleAfterMs(), at -> {
+            lookup.staleTimer = timers.schedule(now + limits.staleAfterMs(), at -> {
                 advanceClock(at);
                 reportStale(pending);
             });
@@ -193,7 +193,7 @@
     }
 
     /** Queues a known result: it must not be reported within the call of {@code lookUp}, but in the same iteration. */
-    private void reportLater(long call, Candidates candidates) {
+    private void reportLater(long call, LookupResult candidates) {
         knownResults.add(() -> output.onLookupComplete(now, call, candidates));
     }
 
@@ -227,7 +227,7 @@
         byte[] encoded = encodeQuery(id, name);
         timers.cancel(lookup.queryTimer);
         double timeoutAt = now + authorities.timeoutMs(authority);
-        lookup.queryTimer = timers.set(Math.min(timeoutAt, lookup.deadline), at -> {
+        lookup.queryTimer = timers.schedule(Math.min(timeoutAt, lookup.deadline), at -> {
             advanceClock(at);
             if (now >= timeoutAt) {
                 authorities.recordTimeout(authority);
@@ -317,7 +317,7 @@
         }
         int rcode = message.getRcode();
         if (rcode == Rcode.NXDOMAIN) {
-            succeed(lookup, Candidates.UNKNOWN, negativeTtlS(message));
+            succeed(lookup, LookupResult.NOT_FOUND, negativeTtlS(message));
         } else if (rcode != Rcode.NOERROR || !message.getHeader().getFlag(Flags.AA)) {
             counts.lameResponses++;
             authorities.recordLame(query.authority(), now);
@@ -335,7 +335,7 @@
             boolean noServers = servers.isEmpty();
             succeed(
                     lookup,
-                    noServers ? Candidates.UNKNOWN : Candidates.of(servers),
+                    noServers ? LookupResult.NOT_FOUND : LookupResult.found(servers),
                     rules.isEmpty() ? negativeTtlS(message) : ttlS);
         }
     }
@@ -350,7 +350,7 @@
         return 0;
     }
 
-    private void succeed(Lookup lookup, Candidates candidates, long ttlS) {
+    private void succeed(Lookup lookup, LookupResult candidates, long ttlS) {
         cache.put(lookup.number, candidates, ttlS, now);
         remove(lookup);
         lookup.waitingCalls.forEach(w -> output.onLookupComplete(now, w.call(), candidates));
@@ -363,7 +363,7 @@
         counts.staleResults += hasStaleResult ? lookup.waitingCalls.size() : 0;
         counts.failedLookups += hasStaleResult ? 0 : lookup.waitingCalls.size();
         lookup.waitingCalls.forEach(w ->
-                output.onLookupComplete(now, w.call(), hasStaleResult ? lookup.staleResult : Candidates.UNAVAILABLE));
+                output.onLookupComplete(now, w.call(), hasStaleResult ? lookup.staleResult : LookupResult.UNAVAILABLE));
     }
 
     /** Reports the stale result to the waiting calls; the lookup continues for the sake of later ones. */
--- a/src/main/java/damsonseam/front/DnsListener.java
+++ b/src/main/java/damsonseam/front/DnsListener.java
@@ -5,10 +5,10 @@
 import damsonseam.core.Router;
 import damsonseam.dns.EnumService;
 import damsonseam.dns.FastPathQuery;
-import damsonseam.loop.Loop;
-import damsonseam.overload.Admission;
-import damsonseam.overload.HeavySenders;
-import damsonseam.overload.Ranks;
+import damsonseam.loop.CoreLoop;
+import damsonseam.overload.AdmissionController;
+import damsonseam.overload.HeavySenderDetector;
+import damsonseam.overload.WorthRanks;
 import io.netty.channel.Channel;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -25,7 +25,7 @@
     /** Limit of attempts with a system-chosen UDP port: the TCP port of the same number may be in use. */
     private static final int MAX_BIND_ATTEMPTS = 20;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final EnumService enumService;
     private final Router router;
     private final EnumService.AdmissionControl streamGate;
@@ -38,22 +38,23 @@
     private boolean backlog;
 
     DnsListener(
-            Loop loop,
+            CoreLoop loop,
             EnumService service,
             Router router,
             FrontSettings settings,
             NumberPlan plan,
             FastPathQuery.WireSuffix suffix,
-            Supplier<Admission> admission) {
+            Supplier<AdmissionController> admission) {
         this.loop = loop;
         this.enumService = service;
         this.router = router;
-        Ranks ranks = settings.ranks();
+        WorthRanks ranks = settings.ranks();
         queue = new QuestionQueue(ranks.count(), settings.overload().queue());
         load = new FrontLoadState(queue, ranks.count(), FrontSettings.TICK_MS);
         intake = new DatagramIntake(loop, settings, suffix, plan, admission.get(), load, queue, this::drain);
-        Admission forStreams = admission.get();
-        streamGate = (now, callClass, source) -> forStreams.decide(now, ranks.of(callClass), senderHash(source), load);
+        AdmissionController forStreams = admission.get();
+        streamGate = (now, callClass, source) ->
+                forStreams.decide(now, ranks.rankOfClass(callClass), senderHash(source), load);
         streams = new StreamListener(
                 loop, service, router, streamGate, settings.limits().connections());
     }
@@ -61,7 +62,9 @@
     /** Returns the hash that identifies the sender, given as the source address or the TCP channel. */
     private static long senderHash(Object source) {
         InetSocketAddress address = (InetSocketAddress) (source instanceof Channel c ? c.remoteAddress() : source);
-        return address == null ? 0 : HeavySenders.sender(address.getAddress().getAddress());
+        return address == null
+                ? 0
+                : HeavySenderDetector.senderKey(address.getAddress().getAddress());
     }
 
     /** Binds UDP and TCP to the same port; with port 0 the system chooses a port that is free for both. */
@@ -100,7 +103,7 @@
     /** Handles queued questions, highest worth first, up to a limit per event-loop iteration. */
     private void drain() {
         double now = loop.now();
-        router.catchUp(now);
+        router.fireOverdueTimers(now);
         load.recordIteration(now);
         if (backlog && takenInDrain == MAX_QUESTIONS_PER_ITERATION) {
             load.recordBatch(now - lastDrainAt, takenInDrain);
@@ -114,7 +117,7 @@
             takenInDrain++;
         }
         backlog = queue.sizeFrom(0) > 0;
-        loop.kick();
+        loop.scheduleBatchEnd();
         if (backlog || !intake.rearmDrain()) {
             // Scheduled, not executed: the event loop reads its sockets between two drains.
             loop.eventLoop().schedule(this::drain, 0, TimeUnit.NANOSECONDS);
--- a/src/main/java/damsonseam/front/FrontLoadState.java
+++ b/src/main/java/damsonseam/front/FrontLoadState.java
@@ -1,12 +1,12 @@
 package damsonseam.front;
 
-import damsonseam.overload.Admission;
+import damsonseam.overload.AdmissionController;
 
 /**
  * The front's current load, written by the event loop and read by the threads that admit calls. Each field has a single
  * writer. A reader may see fields of slightly different age, which admission decisions tolerate.
  */
-final class FrontLoadState implements Admission.Load {
+final class FrontLoadState implements AdmissionController.Load {
     /** Weight of a full batch in the moving average of the cost per call. */
     private static final double BATCH_WEIGHT = 0.05;
     /** Weight of a CPU time sample in the same average. */
@@ -67,17 +67,17 @@
     }
 
     @Override
-    public int queuedFrom(int rank) {
+    public int queuedAtOrAbove(int rank) {
         return queue.sizeFrom(rank);
     }
 
     @Override
-    public double perCall() {
+    public double costPerCallMs() {
         return costPerCallMs;
     }
 
     @Override
-    public double standing(double now) {
+    public double loopPauseMs(double now) {
         return queue.sizeFrom(0) == 0 ? 0 : Math.max(0, now - lastIterationAt - tickMs);
     }
 
--- a/src/main/java/damsonseam/loop/CallLog.java
+++ b/src/main/java/damsonseam/loop/CallLog.java
@@ -1,32 +1,32 @@
 package damsonseam.loop;
 
 import damsonseam.core.CallRecord;
-import damsonseam.core.Story;
+import damsonseam.core.CallTracer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The story of each call in the log, one line a step. */
-public final class CallLog implements Story {
-    /** The logger that tells the calls. */
-    public static final String NAME = "damsonseam.calls";
+/** Writes the call trace to the log, one line for each step of a call. */
+public final class CallLog implements CallTracer {
+    /** Name of the logger that writes the call trace. */
+    public static final String LOGGER_NAME = "damsonseam.calls";
 
-    private static final Logger LOG = LoggerFactory.getLogger(NAME);
+    private static final Logger LOG = LoggerFactory.getLogger(LOGGER_NAME);
 
     private final String front;
 
-    /** The log of the front of this name. */
+    /** Creates the call log of the front with this name. */
     public CallLog(String front) {
         this.front = front;
     }
 
     @Override
-    public void step(double now, CallRecord call, String step, String detail) {
+    public void traceStep(double now, CallRecord call, String step, String detail) {
         LOG.atInfo()
                 .addKeyValue("front", front)
                 .addKeyValue("call", Long.toHexString(call.id()))
                 .addKeyValue("number", call.number())
                 .addKeyValue("attempt", call.attempts())
-                .addKeyValue("ms", Math.round((now - call.takenAt()) * 1000) / 1000.0)
+                .addKeyValue("ms", Math.round((now - call.receivedAt()) * 1000) / 1000.0)
                 .addKeyValue("detail", detail)
                 .log(step);
     }
--- a/src/main/java/damsonseam/node/CallerConnection.java
+++ b/src/main/java/damsonseam/node/CallerConnection.java
@@ -182,11 +182,11 @@
 
     private void abandonPending() {
         if (!pendingCalls.isEmpty()) {
-            listener.router().clock(listener.loop().now());
+            listener.router().advanceClock(listener.loop().now());
             new ArrayList<>(pendingCalls)
                     .forEach(call -> listener.callRegistry().abandon(call));
             pendingCalls.clear();
-            listener.loop().kick();
+            listener.loop().scheduleBatchEnd();
         }
     }
 
@@ -229,11 +229,11 @@
         lastReceivedMs = now;
         messageReceived = true;
         listener.onMessage(this);
-        listener.router().catchUp(now);
-        listener.router().clock(now);
+        listener.router().fireOverdueTimers(now);
+        listener.router().advanceClock(now);
         if (message.isRequest()) {
             onRequest(message, now);
-            listener.loop().kick();
+            listener.loop().scheduleBatchEnd();
         } else if (message.cseqMethod().equals(SipMessage.BYE) && message.status() == SipMessage.OK) {
             listener.callRegistry().releases().onConfirmed(this, String.valueOf(message.callId()));
         }
@@ -296,13 +296,13 @@
         callRegistry.attachRecord(
                 call,
                 listener.router()
-                        .routed(
+                        .routedCallReceived(
                                 now,
                                 setUp.number(),
                                 setUp.classIndex(),
                                 setUp.destinationCell(),
                                 setUp.patienceMs(),
-                                listener.router().turnAge(now),
+                                listener.router().maxReadAge(now),
                                 setUp.redial(),
                                 call));
     }
--- a/src/main/java/damsonseam/ss7/IsupMessage.java
+++ b/src/main/java/damsonseam/ss7/IsupMessage.java
@@ -31,7 +31,7 @@
     public static final int BACKWARD_CALL_INDICATORS = 0x11;
     /** Why a circuit is released. */
     public static final int CAUSE_INDICATORS = 0x12;
-    /** Circuits that a group message is about. */
+    /** CircuitAllocator that a group message is about. */
     public static final int RANGE_AND_STATUS = 0x16;
     /** What a CPG tells. */
     public static final int EVENT_INFORMATION = 0x24;
