--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -1,7 +1,7 @@
 package damsonseam.config;
 
-import damsonseam.Front.CallClass;
-import damsonseam.Front.Settings;
+import damsonseam.RoutingPolicy.CallClass;
+import damsonseam.RoutingPolicy.PolicySettings;
 import damsonseam.core.NumberPlan;
 import damsonseam.dns.E164Name;
 import damsonseam.overload.OverloadSettings;
@@ -363,10 +363,10 @@
     public static final double ANSWER_SLACK_MS = 20;
 
     /** What the module is given. */
-    public Settings moduleSettings(long seed) {
+    public PolicySettings moduleSettings(long seed) {
         List<CallClass> forModule = new ArrayList<>();
         classes.forEach(c -> forModule.add(c.toCallClass()));
-        return new Settings(
+        return new PolicySettings(
                 seed,
                 OptionalInt.of(fleet.fronts()),
                 forModule,
--- a/src/main/java/damsonseam/node/CallRegistry.java
+++ b/src/main/java/damsonseam/node/CallRegistry.java
@@ -1,8 +1,8 @@
 package damsonseam.node;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import damsonseam.core.CallRecord;
 import damsonseam.core.FinalAnswer;
 import damsonseam.core.Router;
@@ -186,18 +186,18 @@
     /** Releases an established call on the caller's behalf, toward its server. */
     void releaseByCaller(NodeCall call) {
         ServerEndpoint server = call.establishedServer;
-        finishRelease(call, Result.CANCELLED, Report.NONE, CAUSE_NORMAL_CLEARING);
+        finishRelease(call, AttemptStatus.CANCELLED, ServerLoadReport.NONE, CAUSE_NORMAL_CLEARING);
         server.sendBye(call.id, call.requestUri);
     }
 
     /** Ends an established call that its server released, or that ended with its server, and releases its caller. */
-    void onReleasedByServer(NodeCall call, Result result, Report report) {
-        int cause = result == Result.COMPLETED ? CAUSE_NORMAL_CLEARING : CAUSE_TEMPORARY_FAILURE;
+    void onReleasedByServer(NodeCall call, AttemptStatus result, ServerLoadReport report) {
+        int cause = result == AttemptStatus.COMPLETED ? CAUSE_NORMAL_CLEARING : CAUSE_TEMPORARY_FAILURE;
         finishRelease(call, result, report, cause);
         releases.send(call, cause);
     }
 
-    private void finishRelease(NodeCall call, Result result, Report report, int cause) {
+    private void finishRelease(NodeCall call, AttemptStatus result, ServerLoadReport report, int cause) {
         recordRelease(call.establishedServer.id(), call.id, cause);
         logCallEvent(call, "call released: " + result);
         if (call.record != null) {
@@ -206,7 +206,7 @@
                     call.record.id(),
                     call.record.attempts() - 1,
                     result,
-                    Reason.NONE,
+                    RejectReason.NONE,
                     OptionalDouble.empty(),
                     report);
         }
--- a/src/main/java/damsonseam/node/ServerEndpoints.java
+++ b/src/main/java/damsonseam/node/ServerEndpoints.java
@@ -1,9 +1,9 @@
 package damsonseam.node;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.core.CallRecord;
 import damsonseam.core.Router;
 import damsonseam.core.RouterPorts;
@@ -20,7 +20,7 @@
 /** The ways to the signalling servers, one for each that the list has named and that is still of use. */
 final class ServerEndpoints implements RouterPorts.ServerSignalling {
     private static final RouterPorts.SendFailure UNREACHABLE =
-            new RouterPorts.SendFailure(Result.UNREACHABLE, Reason.NONE);
+            new RouterPorts.SendFailure(AttemptStatus.UNREACHABLE, RejectReason.NONE);
     private static final double SWEEP_INTERVAL_MS = 250;
 
     /**
@@ -166,14 +166,16 @@
         if (endpoint != null) {
             endpoint.probe();
         } else {
-            context.loop().timers().schedule(now, at -> router.probeCompleted(at, server, true, false, 0, Report.NONE));
+            context.loop()
+                    .timers()
+                    .schedule(now, at -> router.probeCompleted(at, server, true, false, 0, ServerLoadReport.NONE));
         }
     }
 
     /** Whether each running server of the list has been reached, or has been tried in vain. */
     boolean isReady() {
         return router.serverList().servers().stream()
-                .filter(server -> server.state() == State.RUNNING)
+                .filter(server -> server.state() == ServerState.RUNNING)
                 .allMatch(server -> endpoints.containsKey(server.id())
                         && endpoints.get(server.id()).hasTriedToConnect());
     }
--- a/src/main/java/damsonseam/ss7/TrunkGroup.java
+++ b/src/main/java/damsonseam/ss7/TrunkGroup.java
@@ -1,8 +1,8 @@
 package damsonseam.ss7;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import damsonseam.core.CircuitAllocator;
 import damsonseam.core.TimerWheel;
 import java.util.BitSet;
@@ -27,17 +27,17 @@
         void send(IsupMessage message);
 
         /** The attempt was answered. */
-        void onAnswered(double now, long call, int attempt, Report report);
+        void onAnswered(double now, long call, int attempt, ServerLoadReport report);
 
         /** The attempt, or the standing call, was ended by the far end or with the connection. */
         void onOutcome(
                 double now,
                 long call,
                 int attempt,
-                Result result,
-                Reason reason,
+                AttemptStatus result,
+                RejectReason reason,
                 OptionalDouble toldWait,
-                Report report);
+                ServerLoadReport report);
 
         /** The far end has the release of an attempt: it completed it, released too, or is gone. */
         void onReleaseComplete(double now, long call, int attempt);
@@ -201,7 +201,14 @@
             }
             b.state = State.RELEASING;
             if (told && byCall.remove(b.call) != null) {
-                out.onOutcome(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
+                out.onOutcome(
+                        now,
+                        b.call,
+                        b.attempt,
+                        AttemptStatus.RESET,
+                        RejectReason.NONE,
+                        OptionalDouble.empty(),
+                        ServerLoadReport.NONE);
             }
         }
     }
@@ -312,24 +319,24 @@
         return IsupMessages.congestionLevel(message) > 0 && !said ? IsupMessage.SWITCHING_EQUIPMENT_CONGESTION : cause;
     }
 
-    private static Result result(int cause, boolean answered) {
+    private static AttemptStatus result(int cause, boolean answered) {
         if (answered) {
-            return cause == IsupMessage.NORMAL_CLEARING ? Result.COMPLETED : Result.RESET;
+            return cause == IsupMessage.NORMAL_CLEARING ? AttemptStatus.COMPLETED : AttemptStatus.RESET;
         }
         return cause == IsupMessage.NO_CIRCUIT_AVAILABLE || cause == IsupMessage.SWITCHING_EQUIPMENT_CONGESTION
-                ? Result.FULL
-                : Result.ERROR;
+                ? AttemptStatus.FULL
+                : AttemptStatus.ERROR;
     }
 
-    private static Reason reason(int cause, boolean answered) {
+    private static RejectReason reason(int cause, boolean answered) {
         if (answered) {
-            return Reason.NONE;
+            return RejectReason.NONE;
         }
         return switch (cause) {
-            case IsupMessage.NO_CIRCUIT_AVAILABLE -> Reason.NO_LINE;
-            case IsupMessage.SWITCHING_EQUIPMENT_CONGESTION -> Reason.PROCESSOR_FULL;
-            case IsupMessage.USER_BUSY -> Reason.NUMBER_BUSY;
-            default -> Reason.NONE;
+            case IsupMessage.NO_CIRCUIT_AVAILABLE -> RejectReason.NO_LINE;
+            case IsupMessage.SWITCHING_EQUIPMENT_CONGESTION -> RejectReason.PROCESSOR_FULL;
+            case IsupMessage.USER_BUSY -> RejectReason.NUMBER_BUSY;
+            default -> RejectReason.NONE;
         };
     }
 
@@ -347,7 +354,14 @@
         b.state = State.RELEASING;
         toReset.set(c);
         resetNext(now);
-        out.onOutcome(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
+        out.onOutcome(
+                now,
+                b.call,
+                b.attempt,
+                AttemptStatus.RESET,
+                RejectReason.NONE,
+                OptionalDouble.empty(),
+                ServerLoadReport.NONE);
     }
 
     private void idle(Busy b, double now) {
@@ -372,7 +386,14 @@
         idle(b, now);
         out.onReleaseComplete(now, b.call, b.attempt);
         if (told) {
-            out.onOutcome(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
+            out.onOutcome(
+                    now,
+                    b.call,
+                    b.attempt,
+                    AttemptStatus.RESET,
+                    RejectReason.NONE,
+                    OptionalDouble.empty(),
+                    ServerLoadReport.NONE);
         }
     }
 
@@ -405,7 +426,14 @@
             // The other end controls this circuit: our attempt never ran, theirs is turned away.
             byCall.remove(b.call);
             startRelease(b, IsupMessage.NO_CIRCUIT_AVAILABLE, now);
-            out.onOutcome(now, b.call, b.attempt, Result.FULL, Reason.NO_LINE, OptionalDouble.empty(), Report.NONE);
+            out.onOutcome(
+                    now,
+                    b.call,
+                    b.attempt,
+                    AttemptStatus.FULL,
+                    RejectReason.NO_LINE,
+                    OptionalDouble.empty(),
+                    ServerLoadReport.NONE);
             return;
         }
         if (b == null) {
--- a/src/test/java/damsonseam/core/PoolTest.java
+++ b/src/test/java/damsonseam/core/PoolTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.ServerState;
 import java.util.Collections;
 import java.util.List;
 import java.util.OptionalDouble;
@@ -14,17 +14,17 @@
 class PoolTest {
     private final ServerList pool = new ServerList();
 
-    private static ServerList.Server server(String id, State state) {
+    private static ServerList.Server server(String id, ServerState state) {
         return new ServerList.Server(id, 7, "127.0.0.1:1", 9, state, OptionalDouble.empty());
     }
 
     @Test
     void changesInOrderAreApplied() {
-        pool.applyUpdate(5, true, List.of(server("a", State.RUNNING), server("b", State.RUNNING)));
-        ServerList.UpdateResult news = pool.applyUpdate(6, false, List.of(server("a", State.DRAINING)));
+        pool.applyUpdate(5, true, List.of(server("a", ServerState.RUNNING), server("b", ServerState.RUNNING)));
+        ServerList.UpdateResult news = pool.applyUpdate(6, false, List.of(server("a", ServerState.DRAINING)));
         assertFalse(news.versionGap());
-        assertEquals(State.DRAINING, news.entries().get(0).state());
-        pool.applyUpdate(7, false, List.of(server("a", State.GONE)));
+        assertEquals(ServerState.DRAINING, news.entries().get(0).state());
+        pool.applyUpdate(7, false, List.of(server("a", ServerState.GONE)));
         assertEquals(
                 List.of("b"), pool.servers().stream().map(ServerList.Server::id).toList());
         assertEquals(-1, pool.indexOf("a"));
@@ -33,9 +33,9 @@
     /** Guards drains: a gap asks for the list, but what the change takes away is taken away at once. */
     @Test
     void aGapAsksForTheListYetHonoursADrain() {
-        pool.applyUpdate(1, true, List.of(server("a", State.RUNNING), server("b", State.RUNNING)));
-        ServerList.UpdateResult news =
-                pool.applyUpdate(3, false, List.of(server("a", State.DRAINING), server("c", State.RUNNING)));
+        pool.applyUpdate(1, true, List.of(server("a", ServerState.RUNNING), server("b", ServerState.RUNNING)));
+        ServerList.UpdateResult news = pool.applyUpdate(
+                3, false, List.of(server("a", ServerState.DRAINING), server("c", ServerState.RUNNING)));
         assertTrue(news.versionGap());
         assertEquals(1, news.entries().size());
         assertEquals("a", news.entries().get(0).id());
@@ -44,27 +44,28 @@
 
     @Test
     void olderAndRepeatedChangesArePassedOver() {
-        pool.applyUpdate(4, true, List.of(server("a", State.RUNNING)));
-        pool.applyUpdate(5, false, List.of(server("a", State.DRAINING)));
-        ServerList.UpdateResult late = pool.applyUpdate(5, false, List.of(server("a", State.RUNNING)));
+        pool.applyUpdate(4, true, List.of(server("a", ServerState.RUNNING)));
+        pool.applyUpdate(5, false, List.of(server("a", ServerState.DRAINING)));
+        ServerList.UpdateResult late = pool.applyUpdate(5, false, List.of(server("a", ServerState.RUNNING)));
         assertTrue(late.entries().isEmpty());
         assertFalse(late.versionGap());
     }
 
     @Test
     void aDirectoryStartedAnewStandsForItself() {
-        pool.applyUpdate(900, true, List.of(server("a", State.RUNNING)));
-        pool.applyUpdate(1, true, List.of(server("b", State.RUNNING)));
+        pool.applyUpdate(900, true, List.of(server("a", ServerState.RUNNING)));
+        pool.applyUpdate(1, true, List.of(server("b", ServerState.RUNNING)));
         assertEquals(
                 List.of("b"), pool.servers().stream().map(ServerList.Server::id).toList());
-        assertFalse(
-                pool.applyUpdate(2, false, List.of(server("c", State.RUNNING))).versionGap());
+        assertFalse(pool.applyUpdate(2, false, List.of(server("c", ServerState.RUNNING)))
+                .versionGap());
     }
 
     @Test
     void anUpdateBeyondTheLimitIsRefusedAsAWhole() {
-        pool.applyUpdate(1, true, List.of(server("a", State.RUNNING)));
-        List<ServerList.Server> many = Collections.nCopies(ServerList.MAX_SERVERS + 1, server("x", State.RUNNING));
+        pool.applyUpdate(1, true, List.of(server("a", ServerState.RUNNING)));
+        List<ServerList.Server> many =
+                Collections.nCopies(ServerList.MAX_SERVERS + 1, server("x", ServerState.RUNNING));
         assertThrows(IllegalArgumentException.class, () -> pool.applyUpdate(2, true, many));
         assertEquals(
                 List.of("a"), pool.servers().stream().map(ServerList.Server::id).toList());
