--- a/src/main/java/damsonseam/dns/E164Name.java
+++ b/src/main/java/damsonseam/dns/E164Name.java
@@ -3,20 +3,20 @@
 import org.xbill.DNS.Name;
 import org.xbill.DNS.TextParseException;
 
-/** Numbers as domain names: the digits reversed, a label each, under a suffix (RFC 6116 3.2). */
+/** Converts between E.164 numbers and domain names: one label per digit, reversed, under a suffix (RFC 6116 3.2). */
 public final class E164Name {
-    /** Digits at most; E.164 has 15, some networks add a few. */
-    public static final int MOST_DIGITS = 20;
+    /** Maximum length of a number: E.164 allows 15 digits, some networks use a few more. */
+    public static final int MAX_DIGITS = 20;
 
     private E164Name() {}
 
-    /** A suffix from its text form, absolute. */
-    public static Name suffix(String text) {
+    /** Parses a suffix, which is taken to be absolute. */
+    public static Name parseSuffix(String text) {
         try {
             Name name = Name.fromString(text, Name.root);
-            // Room for all digits a number may have, or some calls could not be asked for.
-            if (name.length() + 2 * MOST_DIGITS > 255) {
-                throw new IllegalArgumentException("suffix: too long for " + MOST_DIGITS + " digits: " + text);
+            // Each digit takes two octets of the 255 that a name may have; the longest number must fit as well.
+            if (name.length() + 2 * MAX_DIGITS > 255) {
+                throw new IllegalArgumentException("suffix: too long for " + MAX_DIGITS + " digits: " + text);
             }
             return name;
         } catch (TextParseException e) {
@@ -24,30 +24,30 @@
         }
     }
 
-    /** The name of a number under a suffix. */
-    public static Name of(String number, Name suffix) {
+    /** Returns the domain name of a number under a suffix. */
+    public static Name toName(String number, Name suffix) {
         StringBuilder labels = new StringBuilder(2 * number.length());
         for (int i = number.length() - 1; i >= 0; i--) {
-            char c = number.charAt(i);
-            if (c < '0' || c > '9') {
-                throw new IllegalArgumentException("a number is all digits: " + number);
+            char digit = number.charAt(i);
+            if (digit < '0' || digit > '9') {
+                throw new IllegalArgumentException("number must consist of digits only: " + number);
             }
-            labels.append(c).append(i > 0 ? "." : "");
+            labels.append(digit).append(i > 0 ? "." : "");
         }
-        if (number.isEmpty() || number.length() > MOST_DIGITS) {
-            throw new IllegalArgumentException("a number has 1 to " + MOST_DIGITS + " digits: " + number);
+        if (number.isEmpty() || number.length() > MAX_DIGITS) {
+            throw new IllegalArgumentException("number must have 1 to " + MAX_DIGITS + " digits: " + number);
         }
         try {
             return Name.fromString(labels.toString(), suffix);
         } catch (TextParseException e) {
-            throw new IllegalArgumentException("number " + number + " under " + suffix, e);
+            throw new IllegalArgumentException("no domain name for number " + number + " under " + suffix, e);
         }
     }
 
-    /** The number that a name under the suffix stands for, or null if it stands for none. */
-    public static String number(Name name, Name suffix) {
+    /** Returns the number that a name under the suffix represents, or null if it represents none. */
+    public static String toNumber(Name name, Name suffix) {
         int digits = name.labels() - suffix.labels();
-        if (digits < 1 || digits > MOST_DIGITS) {
+        if (digits < 1 || digits > MAX_DIGITS) {
             return null;
         }
         char[] number = new char[digits];
--- a/src/main/java/damsonseam/front/TrunkLink.java
+++ b/src/main/java/damsonseam/front/TrunkLink.java
@@ -9,10 +9,10 @@
 import damsonseam.core.ServerList;
 import damsonseam.loop.CoreLoop;
 import damsonseam.ss7.AspSession;
-import damsonseam.ss7.Isup;
-import damsonseam.ss7.M3ua;
+import damsonseam.ss7.IsupMessage;
+import damsonseam.ss7.M3uaMessage;
 import damsonseam.ss7.ProtocolData;
-import damsonseam.ss7.SignallingException;
+import damsonseam.ss7.SignallingProtocolException;
 import damsonseam.ss7.TrunkGroup;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -74,7 +74,7 @@
         group = new TrunkGroup(
                 new CircuitAllocator(trunks.circuits(), ownPointCode > server.pointCode()),
                 loop.timers(),
-                new TrunkGroup.Times(
+                new TrunkGroup.TimerValues(
                         trunks.t1().ms(), trunks.t5().ms(), trunks.t17().ms()),
                 ownPointCode,
                 output);
@@ -98,7 +98,7 @@
     }
 
     private void closeIfIdle() {
-        if (!listed && group.busy() == 0) {
+        if (!listed && group.busyCircuits() == 0) {
             closeLocally();
         }
     }
@@ -120,7 +120,7 @@
     }
 
     boolean isUsable() {
-        return channel != null && session.usable() && channel.isWritable();
+        return channel != null && session.isUsable() && channel.isWritable();
     }
 
     boolean setUp(long call, int attempt, String number, int category) {
@@ -132,7 +132,7 @@
     }
 
     void probe(double now) {
-        session.probe(now);
+        session.sendProbe(now);
     }
 
     /** Flushes written messages: one system call for all messages of an event-loop iteration. */
@@ -164,7 +164,8 @@
                         newChannel
                                 .pipeline()
                                 .addLast(
-                                        new LengthFieldBasedFrameDecoder(M3ua.MOST, 4, 4, -M3ua.HEADER, 0),
+                                        new LengthFieldBasedFrameDecoder(
+                                                M3uaMessage.MAX_FRAME_BYTES, 4, 4, -M3uaMessage.HEADER_BYTES, 0),
                                         new Handler());
                     }
                 })
@@ -195,21 +196,21 @@
         try {
             if (data.opc() == server.pointCode()
                     && data.dpc() == settings.front().pointCode()) {
-                group.received(now, Isup.decode(data.isup()));
+                group.onMessage(now, IsupMessage.decode(data.isup()));
             } else {
                 badMessages++;
             }
-        } catch (SignallingException e) {
+        } catch (SignallingProtocolException e) {
             badMessages++;
             if (data.isup().length >= 2) {
-                group.unreadable((data.isup()[0] & 0xff) | (data.isup()[1] & 0x0f) << 8, e.code());
+                group.onMalformedMessage((data.isup()[0] & 0xff) | (data.isup()[1] & 0x0f) << 8, e.code());
             }
         }
     }
 
     private final class Output implements AspSession.Output, TrunkGroup.Output {
         @Override
-        public void send(M3ua message) {
+        public void send(M3uaMessage message) {
             if (channel != null) {
                 channel.write(Unpooled.wrappedBuffer(message.encode()));
                 flushPending = true;
@@ -217,13 +218,13 @@
         }
 
         @Override
-        public void send(Isup message) {
+        public void send(IsupMessage message) {
             send(new ProtocolData(
                             settings.front().pointCode(),
                             server.pointCode(),
                             message.circuit() & 0x0f,
                             message.encode())
-                    .message());
+                    .toMessage());
         }
 
         @Override
@@ -232,20 +233,20 @@
                     .addKeyValue("server", server.id())
                     .addKeyValue("why", why)
                     .addKeyValue("badMessages", badMessages)
-                    .addKeyValue("confused", group.confused())
+                    .addKeyValue("confused", group.unexpectedMessages())
                     .log("signalling closed");
             closeLocally();
         }
 
         @Override
-        public void active() {
+        public void onActive() {
             reconnectDelayMs = INITIAL_RECONNECT_DELAY_MS;
-            group.connectionUp(loop.now());
+            group.onConnectionUp(loop.now());
             LOG.atInfo().addKeyValue("server", server.id()).log("signalling active");
         }
 
         @Override
-        public void destination(boolean reachable, int congestionLevel) {
+        public void onDestinationState(boolean reachable, int congestionLevel) {
             LOG.atInfo()
                     .addKeyValue("server", server.id())
                     .addKeyValue("reachable", reachable)
@@ -254,23 +255,23 @@
         }
 
         @Override
-        public void data(ProtocolData data) {
+        public void onData(ProtocolData data) {
             handleIsup(loop.now(), data);
         }
 
         @Override
-        public void probed(boolean answered, double delay) {
+        public void onProbeResult(boolean answered, double delay) {
             router.probeCompleted(loop.now(), server.id(), true, answered, delay, ServerLoadReport.NONE);
             loop.scheduleBatchEnd();
         }
 
         @Override
-        public void stands(double now, long call, int attempt, ServerLoadReport report) {
+        public void onAnswered(double now, long call, int attempt, ServerLoadReport report) {
             router.callEstablished(now, call, attempt, report);
         }
 
         @Override
-        public void ended(
+        public void onOutcome(
                 double now,
                 long call,
                 int attempt,
@@ -289,7 +290,7 @@
         }
 
         @Override
-        public void released(double now, long call, int attempt) {
+        public void onReleaseComplete(double now, long call, int attempt) {
             router.releaseConfirmed(now, call, attempt);
         }
     }
@@ -298,7 +299,7 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            session.connected(loop.now());
+            session.onConnected(loop.now());
             flush();
         }
 
@@ -312,12 +313,12 @@
             router.fireOverdueTimers(loop.now());
             byte[] message = ByteBufUtil.getBytes(frame);
             try {
-                session.received(loop.now(), M3ua.decode(message));
-            } catch (SignallingException e) {
+                session.onMessage(loop.now(), M3uaMessage.decode(message));
+            } catch (SignallingProtocolException e) {
                 // Answered with an ERR message and skipped; the framing is still in step (RFC 4666 4.8).
                 badMessages++;
-                ctx.writeAndFlush(
-                        Unpooled.wrappedBuffer(M3ua.error(e.code(), message).encode()));
+                ctx.writeAndFlush(Unpooled.wrappedBuffer(
+                        M3uaMessage.error(e.code(), message).encode()));
             }
             closeIfIdle();
             loop.scheduleBatchEnd();
@@ -327,8 +328,8 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             channel = null;
             double now = loop.now();
-            session.closed(now);
-            group.connectionLost(now);
+            session.onClosed(now);
+            group.onConnectionLost(now);
             closedLocally = false;
             loop.scheduleBatchEnd();
             scheduleReconnect();
--- a/src/test/java/damsonseam/sim/SimulatedFront.java
+++ b/src/test/java/damsonseam/sim/SimulatedFront.java
@@ -18,19 +18,19 @@
 import damsonseam.core.RouterSettings;
 import damsonseam.core.ServerList;
 import damsonseam.core.TimerWheel;
-import damsonseam.dns.Authorities;
+import damsonseam.dns.AuthoritySelector;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.DnsFormatException;
 import damsonseam.dns.E164Name;
-import damsonseam.dns.EnumReplies;
+import damsonseam.dns.EnumResponses;
 import damsonseam.dns.EnumService;
 import damsonseam.dns.LookupCache;
 import damsonseam.dns.Resolver;
-import damsonseam.dns.Transactions;
-import damsonseam.ss7.Digits;
-import damsonseam.ss7.Isup;
+import damsonseam.dns.TransactionTable;
+import damsonseam.ss7.CalledPartyNumber;
+import damsonseam.ss7.IsupMessage;
 import damsonseam.ss7.IsupMessages;
-import damsonseam.ss7.SignallingException;
+import damsonseam.ss7.SignallingProtocolException;
 import damsonseam.ss7.TrunkGroup;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -57,7 +57,7 @@
  */
 public final class SimulatedFront implements RouterPorts.ServerSignalling, RouterPorts.Directory {
     /** The domain of the numbers. */
-    public static final Name SUFFIX = E164Name.suffix("e164.example.org");
+    public static final Name SUFFIX = E164Name.parseSuffix("e164.example.org");
     /** How long a release complete is awaited, in milliseconds. */
     public static final double RELEASE_WAIT = 100;
 
@@ -69,7 +69,7 @@
     }
 
     /** A message to a calculator. */
-    public record Sent(double at, String server, Isup message) {}
+    public record Sent(double at, String server, IsupMessage message) {}
 
     /** An answer to a caller. */
     public record Reply(double at, Object to, Message message, byte[] octets) {}
@@ -124,7 +124,7 @@
                 new CallTable(mostCalls, 1),
                 timers,
                 (call, number, deadline) -> {
-                    resolver.clock(now);
+                    resolver.advanceClock(now);
                     resolver.lookUp(call, number, deadline);
                 },
                 this,
@@ -133,29 +133,31 @@
         resolver = new Resolver(
                 SUFFIX,
                 new LookupCache(1_000, 60_000),
-                new Authorities(1),
+                new AuthoritySelector(1),
                 timers,
                 5,
                 new Resolver.Limits(4, 6, 50_000, 300),
                 new Resolver.Output() {
                     @Override
-                    public void udp(int authority, int socket, byte[] question) {
+                    public void sendUdp(int authority, int socket, byte[] question) {
                         if (dnsDelay >= 0) {
-                            later(dnsDelay, () -> resolver.answer(now, authority, socket, found(question)));
+                            later(dnsDelay, () -> resolver.onResponse(now, authority, socket, found(question)));
                         }
                     }
 
                     @Override
-                    public void tcp(int authority, byte[] question) {
-                        later(dnsDelay, () -> resolver.answer(now, authority, Resolver.STREAM, found(question)));
+                    public void sendTcp(int authority, byte[] question) {
+                        later(
+                                dnsDelay,
+                                () -> resolver.onResponse(now, authority, Resolver.TCP_SOCKET, found(question)));
                     }
 
                     @Override
-                    public void lookedUp(double at, long call, LookupResult candidates) {
+                    public void onLookupComplete(double at, long call, LookupResult candidates) {
                         router.lookupCompleted(at, call, candidates);
                     }
                 });
-        service = new EnumService(SUFFIX, s.numberPlan(), router, new Transactions(200_000, 3_000), 50);
+        service = new EnumService(SUFFIX, s.numberPlan(), router, new TransactionTable(200_000, 3_000), 50);
         List<ServerList.Server> list = new ArrayList<>();
         for (String server : servers) {
             list.add(server(server, list.size(), ServerState.RUNNING, OptionalDouble.empty()));
@@ -193,20 +195,20 @@
 
     private TrunkGroup group(String server) {
         TrunkGroup group = new TrunkGroup(
-                new CircuitAllocator(4_000, true), timers, TrunkGroup.Times.Q764, 1, new TrunkGroup.Output() {
+                new CircuitAllocator(4_000, true), timers, TrunkGroup.TimerValues.Q764, 1, new TrunkGroup.Output() {
                     @Override
-                    public void send(Isup message) {
+                    public void send(IsupMessage message) {
                         sent.add(new Sent(now, server, message));
                         react(server, message);
                     }
 
                     @Override
-                    public void stands(double at, long call, int attempt, ServerLoadReport report) {
+                    public void onAnswered(double at, long call, int attempt, ServerLoadReport report) {
                         router.callEstablished(at, call, attempt, report);
                     }
 
                     @Override
-                    public void ended(
+                    public void onOutcome(
                             double at,
                             long call,
                             int attempt,
@@ -218,23 +220,26 @@
                     }
 
                     @Override
-                    public void released(double at, long call, int attempt) {
+                    public void onReleaseComplete(double at, long call, int attempt) {
                         router.releaseConfirmed(at, call, attempt);
                     }
                 });
-        group.connectionUp(now);
+        group.onConnectionUp(now);
         return group;
     }
 
-    private void react(String server, Isup message) {
+    private void react(String server, IsupMessage message) {
         Mode mode = modes.getOrDefault(server, Mode.ANSWER);
         int circuit = message.circuit();
-        if (message.type() == Isup.Type.IAM && mode == Mode.ANSWER) {
-            later(answerDelay, () -> from(server, Isup.of(circuit, Isup.Type.ANM)));
-        } else if (message.type() == Isup.Type.IAM && mode == Mode.TURN_AWAY) {
-            later(answerDelay, () -> from(server, IsupMessages.release(circuit, Isup.SWITCH_CONGESTION)));
-        } else if ((message.type() == Isup.Type.REL || message.type() == Isup.Type.RSC) && !losesCompletes) {
-            later(completeDelay, () -> from(server, Isup.of(circuit, Isup.Type.RLC)));
+        if (message.type() == IsupMessage.Type.IAM && mode == Mode.ANSWER) {
+            later(answerDelay, () -> from(server, IsupMessage.of(circuit, IsupMessage.Type.ANM)));
+        } else if (message.type() == IsupMessage.Type.IAM && mode == Mode.TURN_AWAY) {
+            later(
+                    answerDelay,
+                    () -> from(server, IsupMessages.release(circuit, IsupMessage.SWITCHING_EQUIPMENT_CONGESTION)));
+        } else if ((message.type() == IsupMessage.Type.REL || message.type() == IsupMessage.Type.RSC)
+                && !losesCompletes) {
+            later(completeDelay, () -> from(server, IsupMessage.of(circuit, IsupMessage.Type.RLC)));
         }
     }
 
@@ -246,27 +251,28 @@
     }
 
     /** A message comes from a calculator. */
-    public void from(String server, Isup message) {
-        groups.get(server).received(now, message);
+    public void from(String server, IsupMessage message) {
+        groups.get(server).onMessage(now, message);
     }
 
     /** A caller asks for a number now. */
     public void ask(Object source, int id, String number) {
         Message query = new Message(id);
-        query.addRecord(Record.newRecord(E164Name.of(number, SUFFIX), Type.NAPTR, DClass.IN), Section.QUESTION);
-        query.addRecord(new OPTRecord(DnsCodec.SAFE_UDP, 0, 0), Section.ADDITIONAL);
+        query.addRecord(Record.newRecord(E164Name.toName(number, SUFFIX), Type.NAPTR, DClass.IN), Section.QUESTION);
+        query.addRecord(new OPTRecord(DnsCodec.MAX_UDP_RESPONSE_BYTES, 0, 0), Section.ADDITIONAL);
         octets(source, query.toWire());
     }
 
     /** A caller sends octets. */
     public void octets(Object source, byte[] octets) {
-        service.question(now, source, false, router.maxReadAge(now), octets, EnumService.Gate.OPEN, answer -> {
-            try {
-                replies.add(new Reply(now, source, DnsCodec.decode(answer), answer));
-            } catch (DnsFormatException e) {
-                throw new AssertionError("the front sent what is no message", e);
-            }
-        });
+        service.handleQuery(
+                now, source, false, router.maxReadAge(now), octets, EnumService.AdmissionControl.ADMIT_ALL, answer -> {
+                    try {
+                        replies.add(new Reply(now, source, DnsCodec.decode(answer), answer));
+                    } catch (DnsFormatException e) {
+                        throw new AssertionError("the front sent what is no message", e);
+                    }
+                });
     }
 
     /** News of the directory. */
@@ -277,7 +283,7 @@
     /** A connection to a calculator is lost; it is not made again. */
     public void cut(String server) {
         unreachable.add(server);
-        groups.get(server).connectionLost(now);
+        groups.get(server).onConnectionLost(now);
     }
 
     /** Time passes, a turn each millisecond. */
@@ -302,7 +308,7 @@
             beatAt = now;
             router.onTick(now);
         }
-        resolver.deliver(now);
+        resolver.deliverKnownResults(now);
         router.endBatch(now);
     }
 
@@ -320,8 +326,8 @@
         if (opt != null) {
             for (var option : opt.getOptions(15)) {
                 int code = ((ExtendedErrorCodeOption) option).getErrorCode();
-                if (code == EnumReplies.EDE_REFUSED || code == EnumReplies.EDE_FAILED) {
-                    return code == EnumReplies.EDE_REFUSED ? "refused" : "failed";
+                if (code == EnumResponses.EDE_REFUSED || code == EnumResponses.EDE_FAILED) {
+                    return code == EnumResponses.EDE_REFUSED ? "refused" : "failed";
                 }
             }
         }
@@ -331,7 +337,7 @@
     /** Set-ups sent, to one server or with null to all. */
     public List<Sent> setUps(String server) {
         return sent.stream()
-                .filter(s -> s.message().type() == Isup.Type.IAM
+                .filter(s -> s.message().type() == IsupMessage.Type.IAM
                         && (server == null || s.server().equals(server)))
                 .toList();
     }
@@ -339,8 +345,8 @@
     /** The number that a set-up called. */
     public static String number(Sent setUp) {
         try {
-            return Digits.decode(setUp.message().value(Isup.CALLED_NUMBER));
-        } catch (SignallingException e) {
+            return CalledPartyNumber.decode(setUp.message().parameterValue(IsupMessage.CALLED_PARTY_NUMBER));
+        } catch (SignallingProtocolException e) {
             throw new AssertionError(e);
         }
     }
@@ -364,7 +370,7 @@
             reply.getHeader().setFlag(Flags.QR);
             reply.getHeader().setFlag(Flags.AA);
             reply.addRecord(query.getQuestion(), Section.QUESTION);
-            int first = E164Name.number(asked, SUFFIX).charAt(5) - '0';
+            int first = E164Name.toNumber(asked, SUFFIX).charAt(5) - '0';
             for (int i = 0; i < groups.size(); i++) {
                 String host = "s" + (first + i) % groups.size();
                 reply.addRecord(
@@ -391,7 +397,12 @@
 
     @Override
     public double sendRelease(double at, String server, long call, int attempt, boolean timedOut) {
-        groups.get(server).release(at, call, attempt, timedOut ? Isup.TIMER_EXPIRED : Isup.NORMAL_CLEARING);
+        groups.get(server)
+                .release(
+                        at,
+                        call,
+                        attempt,
+                        timedOut ? IsupMessage.RECOVERY_ON_TIMER_EXPIRY : IsupMessage.NORMAL_CLEARING);
         return now;
     }
 
