--- a/src/main/java/damsonseam/adapter/WireAdapter.java
+++ b/src/main/java/damsonseam/adapter/WireAdapter.java
@@ -148,7 +148,7 @@
         int number = line.small("the instance");
         long seed = line.whole("the seed");
         PlatformSettings start = PlatformSettings.parse(line.rest(), line::wrong);
-        RoutingPolicy front = new CongestionControlPolicy(start.moduleSettings(seed), new ReplyWriter(reply, number));
+        RoutingPolicy front = new CongestionControlPolicy(start.policySettings(seed), new ReplyWriter(reply, number));
         instances.put(number, new Instance(front, new LoadReportParser(start.reportFields(), ',')));
     }
 
--- a/src/main/java/damsonseam/core/CallRecord.java
+++ b/src/main/java/damsonseam/core/CallRecord.java
@@ -29,7 +29,7 @@
     private String server;
     private boolean attemptPending;
     private double sentAt;
-    private AttemptStatus releaseOutcome;
+    private AttemptStatus releaseStatus;
     private double releaseStartedAt;
     private TimerWheel.Timer deadlineTimer;
     private TimerWheel.Timer attemptTimer;
@@ -121,28 +121,28 @@
     void endAttempt() {
         require(attemptPending, "no pending attempt to end");
         attemptPending = false;
-        releaseOutcome = null;
+        releaseStatus = null;
     }
 
     /** Starts the release of the pending attempt, which stays pending until the release is confirmed or times out. */
-    void startRelease(AttemptStatus outcome, double now) {
-        require(attemptPending && releaseOutcome == null, "no pending attempt to release");
-        releaseOutcome = outcome;
+    void startRelease(AttemptStatus status, double now) {
+        require(attemptPending && releaseStatus == null, "no pending attempt to release");
+        releaseStatus = status;
         releaseStartedAt = now;
     }
 
-    /** Returns the outcome of the attempt that is being released, or null if none is. */
-    AttemptStatus releaseOutcome() {
-        return releaseOutcome;
+    /** Returns the status with which the attempt being released will end, or null if none is being released. */
+    AttemptStatus releaseStatus() {
+        return releaseStatus;
     }
 
-    /** Returns when the release of the attempt that is being released was started. */
+    /** Returns when the release of the attempt being released was started. */
     double releaseStartedAt() {
         return releaseStartedAt;
     }
 
     void establish() {
-        require(attemptPending && releaseOutcome == null, "call established without a pending attempt");
+        require(attemptPending && releaseStatus == null, "call established without a pending attempt");
         attemptPending = false;
         transition(Phase.TRYING, Phase.ESTABLISHED);
     }
--- a/src/main/java/damsonseam/core/Counters.java
+++ b/src/main/java/damsonseam/core/Counters.java
@@ -12,7 +12,7 @@
     public long refusedTableFull;
     /** Calls answered as failed, including unknown numbers. */
     public long failed;
-    /** Calls failed by the core shortly before their deadline because the module had not answered them. */
+    /** Calls failed by the core shortly before their deadline because the policy had not answered them. */
     public long failedAtDeadline;
     /** Set-ups sent. */
     public long setUps;
@@ -22,7 +22,7 @@
     public long timedOut;
     /** Releases not confirmed by the server within the release timeout. */
     public long unconfirmedReleases;
-    /** Attempts cancelled by the module. */
+    /** Attempts cancelled by the policy. */
     public long cancelled;
     /** Longest delay of a tick of the event loop, in milliseconds. */
     public double maxPauseMs;
--- a/src/main/java/damsonseam/core/Router.java
+++ b/src/main/java/damsonseam/core/Router.java
@@ -17,21 +17,21 @@
 import java.util.function.Function;
 
 /**
- * Connects the decision module of one front to its sockets: reports events to the module and carries out the
- * module's decisions. All methods run on one thread. Times are in milliseconds of the front's clock, which never runs
- * backwards. Events are passed to the module as they arrive; {@link #endBatch} lets the module act once a batch of
+ * Connects the routing policy of one front to its sockets: reports events to the policy and carries out the
+ * policy's decisions. All methods run on one thread. Times are in milliseconds of the front's clock, which never runs
+ * backwards. Events are passed to the policy as they arrive; {@link #endBatch} lets the policy act once a batch of
  * simultaneous events is complete.
  *
  * <p>The router keeps the books and makes no routing decisions. It guarantees that a call gets exactly one final
  * answer, has at most one pending attempt, holds a circuit from set-up to release, and is answered before its
- * caller's deadline even if neither the module nor a lookup responds. Decisions about closed calls are ignored.
+ * caller's deadline even if neither the policy nor a lookup responds. Decisions about closed calls are ignored.
  */
 public final class Router implements PolicyActions {
-    /** Maximum decision rounds in a batch. Another round follows only if the module's last one caused new events. */
+    /** Maximum decision rounds in a batch. Another round follows only if the policy's last one caused new events. */
     private static final int MAX_DECISION_ROUNDS = 64;
 
     private final RouterSettings settings;
-    private final RoutingPolicy module;
+    private final RoutingPolicy policy;
     private final CallTable calls;
     private final TimerWheel timers;
     private final ServerList serverList = new ServerList();
@@ -40,7 +40,7 @@
     private final RouterPorts.Directory directory;
     private final CallTracer tracer;
     private final Counters counters = new Counters();
-    /** Attempt outcomes detected while the module was acting; reported to it when it has returned. */
+    /** Attempt outcomes detected while the policy was acting; reported to it when it has returned. */
     private final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
 
     private double now;
@@ -55,11 +55,11 @@
     /**
      * Creates a router on the given ports.
      *
-     * @param module creates the decision module, given the actions it may request
+     * @param policyFactory creates the routing policy, given the actions it may request
      */
     public Router(
             RouterSettings settings,
-            Function<PolicyActions, RoutingPolicy> module,
+            Function<PolicyActions, RoutingPolicy> policyFactory,
             CallTable calls,
             TimerWheel timers,
             RouterPorts.NumberLookup lookup,
@@ -73,8 +73,8 @@
         this.signalling = signalling;
         this.directory = directory;
         this.tracer = tracer;
-        this.module = module.apply(this);
-        unansweredByClass = new int[settings.module().classes().size() + 1];
+        this.policy = policyFactory.apply(this);
+        unansweredByClass = new int[settings.policy().classes().size() + 1];
     }
 
     // ---- Event loop -------------------------------------------------------------------------------------
@@ -110,19 +110,19 @@
         return Double.isNaN(previousTickAt) ? 0 : Math.max(0, at - previousTickAt - 3 * settings.tickIntervalMs());
     }
 
-    /** Lets the module act; to be called once all events of a batch have been passed on. */
+    /** Lets the policy act; to be called once all events of a batch have been passed on. */
     public void endBatch(double at) {
         advanceClock(at);
         for (int round = 0; batchOpen && round < MAX_DECISION_ROUNDS; round++) {
             batchOpen = false;
-            module.onBatchEnd(now);
+            policy.onBatchEnd(now);
             for (Runnable event = deferredEvents.poll(); event != null; event = deferredEvents.poll()) {
                 event.run();
             }
         }
     }
 
-    /** Returns whether events were passed to the module since the last {@link #endBatch}. */
+    /** Returns whether events were passed to the policy since the last {@link #endBatch}. */
     public boolean hasOpenBatch() {
         return batchOpen;
     }
@@ -175,7 +175,7 @@
             Caller caller) {
         CallRecord call = registerCall(at, number, callClass, timeLeft, age, redialled, caller);
         if (call != null) {
-            offerToModule(call, firstChoice, List.of());
+            offerToPolicy(call, firstChoice, List.of());
         }
         return call;
     }
@@ -192,7 +192,7 @@
             finishCall(
                     call,
                     FinalAnswer.refused(
-                            settings.module().maxRetryAfter().orElse(0),
+                            settings.policy().maxRetryAfter().orElse(0),
                             draining ? "front is closing" : "call table full"));
             return null;
         }
@@ -206,9 +206,9 @@
         return call;
     }
 
-    private void offerToModule(CallRecord call, int firstChoice, List<Integer> serverIndexes) {
+    private void offerToPolicy(CallRecord call, int firstChoice, List<Integer> serverIndexes) {
         call.startTrying();
-        module.onCallOffered(
+        policy.onCallOffered(
                 now,
                 new Call(
                         call.id(),
@@ -222,7 +222,7 @@
         markBatchOpen();
     }
 
-    /** Fails a call shortly before its deadline, in case neither the lookup nor the module has responded. */
+    /** Fails a call shortly before its deadline, in case neither the lookup nor the policy has responded. */
     private void onDeadline(CallRecord call, double at) {
         advanceClock(at);
         if (call.phase() == Phase.LOOKING_UP) {
@@ -249,21 +249,21 @@
 
     /**
      * Releases an unanswered call and reports the outcome of its pending attempt. Every attempt needs an outcome, even
-     * if its call closes first: the module takes a set-up without one for a sign of an unresponsive server.
+     * if its call closes first: the policy takes a set-up without one for a sign of an unresponsive server.
      */
-    private void abandonCall(CallRecord call, AttemptStatus result) {
+    private void abandonCall(CallRecord call, AttemptStatus status) {
         boolean attemptPending = call.hasPendingAttempt();
-        releaseAttempt(call, result == AttemptStatus.TIMED_OUT);
-        module.onCallAbandoned(now, call.id());
+        releaseAttempt(call, status == AttemptStatus.TIMED_OUT);
+        policy.onCallAbandoned(now, call.id());
         if (attemptPending) {
-            module.onAttemptOutcome(
+            policy.onAttemptOutcome(
                     now,
                     new AttemptOutcome(
                             call.id(),
                             call.server(),
                             call.attempts() - 1,
                             now - call.sentAt(),
-                            result,
+                            status,
                             RejectReason.NONE,
                             OptionalDouble.empty(),
                             true,
@@ -287,7 +287,7 @@
                 tracer.traceStep(now, call, "looked-up", String.join(" ", result.servers()));
                 List<Integer> serverIndexes = new ArrayList<>(result.servers().size());
                 result.servers().forEach(name -> serverIndexes.add(serverList.indexOf(name)));
-                offerToModule(call, serverIndexes.get(0), serverIndexes);
+                offerToPolicy(call, serverIndexes.get(0), serverIndexes);
             }
         }
     }
@@ -327,7 +327,7 @@
         CallRecord call = calls.get(id);
         if (call == null
                 || !call.hasPendingAttempt()
-                || call.releaseOutcome() != null
+                || call.releaseStatus() != null
                 || !call.isCurrentAttempt(attempt)) {
             return;
         }
@@ -342,11 +342,11 @@
         timers.cancel(call.replaceDeadlineTimer(null));
         call.establish();
         adjustUnanswered(call, -1);
-        // The load report is carried in the answer, but the module expects it as a report of the server.
+        // The load report is carried in the answer, but the policy expects it as a report of the server.
         if (!report.equals(ServerLoadReport.NONE)) {
-            module.onProbeResult(now, call.server(), false, true, 0, report);
+            policy.onProbeResult(now, call.server(), false, true, 0, report);
         }
-        module.onCallEstablished(now, id, call.server(), attempt, now - call.sentAt());
+        policy.onCallEstablished(now, id, call.server(), attempt, now - call.sentAt());
         markBatchOpen();
         deliverAnswer(call, call.takeCaller(), FinalAnswer.established(call.server()));
     }
@@ -356,9 +356,9 @@
             double at,
             long id,
             int attempt,
-            AttemptStatus result,
+            AttemptStatus status,
             RejectReason reason,
-            OptionalDouble advisedWait,
+            OptionalDouble retryAfter,
             ServerLoadReport report) {
         advanceClock(at);
         CallRecord call = calls.get(id);
@@ -367,27 +367,27 @@
                 || !call.hasPendingAttempt() && call.phase() != Phase.ESTABLISHED) {
             return;
         }
-        endAttempt(call, attempt, result, reason, advisedWait, report);
+        endAttempt(call, attempt, status, reason, retryAfter, report);
     }
 
     private void endAttempt(
             CallRecord call,
             int attempt,
-            AttemptStatus result,
+            AttemptStatus status,
             RejectReason reason,
-            OptionalDouble advisedWait,
+            OptionalDouble retryAfter,
             ServerLoadReport report) {
         boolean callEnded = call.phase() == Phase.ESTABLISHED;
-        double duration = (call.releaseOutcome() == null ? now : call.releaseStartedAt()) - call.sentAt();
+        double duration = (call.releaseStatus() == null ? now : call.releaseStartedAt()) - call.sentAt();
         timers.cancel(call.replaceAttemptTimer(null));
         if (!callEnded) {
             call.endAttempt();
         }
-        tracer.traceStep(now, call, "ended", call.server() + " " + result);
-        module.onAttemptOutcome(
+        tracer.traceStep(now, call, "ended", call.server() + " " + status);
+        policy.onAttemptOutcome(
                 now,
                 new AttemptOutcome(
-                        call.id(), call.server(), attempt, duration, result, reason, advisedWait, callEnded, report));
+                        call.id(), call.server(), attempt, duration, status, reason, retryAfter, callEnded, report));
         markBatchOpen();
         if (callEnded) {
             call.close();
@@ -396,14 +396,14 @@
     }
 
     /**
-     * Gives up an attempt. Its outcome is reported to the module only when the server has confirmed the release or the
+     * Gives up an attempt. Its outcome is reported to the policy only when the server has confirmed the release or the
      * release timeout has expired. The guard time before the next set-up therefore starts when the server has, or
      * almost certainly has, the release. Otherwise a set-up to another server could overtake a release that meets a
      * longer network delay.
      */
-    private void giveUpAttempt(CallRecord call, int attempt, AttemptStatus result) {
-        call.startRelease(result, now);
-        advanceClock(signalling.sendRelease(now, call.server(), call.id(), attempt, result == AttemptStatus.TIMED_OUT));
+    private void giveUpAttempt(CallRecord call, int attempt, AttemptStatus status) {
+        call.startRelease(status, now);
+        advanceClock(signalling.sendRelease(now, call.server(), call.id(), attempt, status == AttemptStatus.TIMED_OUT));
         timers.cancel(call.replaceAttemptTimer(timers.schedule(now + settings.releaseTimeoutMs(), at -> {
             counters.unconfirmedReleases++;
             releaseConfirmed(at, call.id(), attempt);
@@ -416,12 +416,12 @@
         CallRecord call = calls.get(id);
         if (call != null
                 && call.hasPendingAttempt()
-                && call.releaseOutcome() != null
+                && call.releaseStatus() != null
                 && call.isCurrentAttempt(attempt)) {
             endAttempt(
                     call,
                     attempt,
-                    call.releaseOutcome(),
+                    call.releaseStatus(),
                     RejectReason.NONE,
                     OptionalDouble.empty(),
                     ServerLoadReport.NONE);
@@ -430,7 +430,7 @@
 
     private void releaseAttempt(CallRecord call, boolean timedOut) {
         if (call.hasPendingAttempt()) {
-            if (call.releaseOutcome() == null) {
+            if (call.releaseStatus() == null) {
                 signalling.sendRelease(now, call.server(), call.id(), call.attempts() - 1, timedOut);
             }
             call.endAttempt();
@@ -444,7 +444,7 @@
         advanceClock(at);
         ServerList.UpdateResult update = serverList.applyUpdate(version, full, servers);
         if (update.full() || !update.entries().isEmpty()) {
-            module.onServerListUpdate(now, update.full(), update.entries());
+            policy.onServerListUpdate(now, update.full(), update.entries());
             markBatchOpen();
         }
         return update.versionGap();
@@ -453,7 +453,7 @@
     /** Handles a directory that could not be reached or closed its stream; the current list remains in use. */
     public void directoryFailed(double at) {
         advanceClock(at);
-        module.onServerListFailure(now);
+        policy.onServerListFailure(now);
         markBatchOpen();
     }
 
@@ -466,11 +466,11 @@
     public void probeCompleted(
             double at, String server, boolean solicited, boolean answered, double delay, ServerLoadReport report) {
         advanceClock(at);
-        module.onProbeResult(now, server, solicited, answered, delay, report);
+        policy.onProbeResult(now, server, solicited, answered, delay, report);
         markBatchOpen();
     }
 
-    // ---- Actions requested by the decision module -------------------------------------------------------
+    // ---- Actions requested by the routing policy --------------------------------------------------------
 
     @Override
     public void sendSetUp(long id, String server, double abandonAt) {
@@ -488,7 +488,7 @@
                     now,
                     id,
                     attempt,
-                    failure.result(),
+                    failure.status(),
                     failure.reason(),
                     OptionalDouble.empty(),
                     ServerLoadReport.NONE));
@@ -498,7 +498,7 @@
         tracer.traceStep(now, call, "set-up", server);
         call.replaceAttemptTimer(timers.schedule(giveUpAt, at -> {
             advanceClock(at);
-            if (call.hasPendingAttempt() && call.releaseOutcome() == null && call.isCurrentAttempt(attempt)) {
+            if (call.hasPendingAttempt() && call.releaseStatus() == null && call.isCurrentAttempt(attempt)) {
                 counters.timedOut++;
                 giveUpAttempt(call, attempt, AttemptStatus.TIMED_OUT);
             }
@@ -528,11 +528,11 @@
         CallRecord call = calls.get(id);
         if (call != null
                 && call.hasPendingAttempt()
-                && call.releaseOutcome() == null
+                && call.releaseStatus() == null
                 && call.isCurrentAttempt(attempt)) {
-            // The module must have returned from its current batch before the outcome is reported to it.
+            // The policy must have returned from its current batch before the outcome is reported to it.
             deferredEvents.add(() -> {
-                if (call.hasPendingAttempt() && call.releaseOutcome() == null && call.isCurrentAttempt(attempt)) {
+                if (call.hasPendingAttempt() && call.releaseStatus() == null && call.isCurrentAttempt(attempt)) {
                     counters.cancelled++;
                     giveUpAttempt(call, attempt, AttemptStatus.CANCELLED);
                 }
@@ -544,7 +544,7 @@
     public void startTimer(double delay, long token) {
         timers.schedule(now + delay, at -> {
             advanceClock(at);
-            module.onTimer(now, token);
+            policy.onTimer(now, token);
             markBatchOpen();
         });
     }
@@ -578,10 +578,10 @@
                 abandonCall(call, AttemptStatus.CANCELLED);
                 finishCall(call, FinalAnswer.failed("front is closing"));
             } else if (call.phase() != Phase.ESTABLISHED && call.phase() != Phase.CLOSED) {
-                module.onCallAbandoned(now, call.id());
+                policy.onCallAbandoned(now, call.id());
                 finishCall(
                         call,
-                        FinalAnswer.refused(settings.module().maxRetryAfter().orElse(0), "front is closing"));
+                        FinalAnswer.refused(settings.policy().maxRetryAfter().orElse(0), "front is closing"));
             }
         }
         markBatchOpen();
--- a/src/main/java/damsonseam/core/RouterPorts.java
+++ b/src/main/java/damsonseam/core/RouterPorts.java
@@ -41,8 +41,8 @@
         void sendProbe(double now, String server);
     }
 
-    /** The result and the reason reported for an attempt whose set-up could not be sent. */
-    public record SendFailure(AttemptStatus result, RejectReason reason) {}
+    /** The status and the reason reported for an attempt whose set-up could not be sent. */
+    public record SendFailure(AttemptStatus status, RejectReason reason) {}
 
     /** The caller's side of one call; notified of its final answer at most once. */
     @FunctionalInterface
@@ -51,7 +51,7 @@
         void onFinalAnswer(double now, CallRecord call, FinalAnswer answer);
     }
 
-    /** The pool directory, used at the decision module's request. */
+    /** The pool directory, used at the routing policy's request. */
     public interface Directory {
         /** Requests the full server list once. */
         void requestServerList();
--- a/src/main/java/damsonseam/core/ServerList.java
+++ b/src/main/java/damsonseam/core/ServerList.java
@@ -46,7 +46,7 @@
      * The result of an update.
      *
      * @param full whether the entries replace the whole list
-     * @param entries the entries to report to the decision module
+     * @param entries the entries to report to the routing policy
      * @param versionGap whether an update was missed and the full list must be requested
      */
     public record UpdateResult(boolean full, List<ServerEntry> entries, boolean versionGap) {}
--- a/src/main/java/damsonseam/node/InviteParser.java
+++ b/src/main/java/damsonseam/node/InviteParser.java
@@ -21,7 +21,7 @@
 
     InviteParser(PlatformSettings settings) {
         classNames = settings.classNames();
-        maxPatienceMs = settings.moduleSettings(0).classes().stream()
+        maxPatienceMs = settings.policySettings(0).classes().stream()
                 .mapToDouble(c -> c.deadline().orElse(MAX_TIMER_MS))
                 .max()
                 .orElse(MAX_TIMER_MS);
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -70,7 +70,7 @@
         loop = new CoreLoop((EventLoop) group.next(), TICK_MS);
         pendingReleases = new PendingReleases(loop);
         callRegistry = new CallRegistry(pendingReleases);
-        PolicySettings moduleSettings = config.settings().moduleSettings(config.seed());
+        PolicySettings moduleSettings = config.settings().policySettings(config.seed());
         classes = moduleSettings.classes();
         InviteParser inviteParser = new InviteParser(config.settings());
         int maxServerConnections = Math.min(MAX_SERVER_CONNECTIONS, config.maxSockets() / SERVER_DESCRIPTOR_DIVISOR);
--- a/src/main/java/damsonseam/overload/HeldCallLimit.java
+++ b/src/main/java/damsonseam/overload/HeldCallLimit.java
@@ -2,7 +2,7 @@
 
 /**
  * Adaptive limit of the unanswered calls that the front can hold without its own work on them delaying it. The time
- * that the decision module takes for a batch grows with the calls it holds, at a rate that depends on the machine, the
+ * that the routing policy takes for a batch grows with the calls it holds, at a rate that depends on the machine, the
  * servers and the current faults, so the limit is learned. A batch above the target time lowers the limit at once, in
  * proportion. The limit recovers slowly while the number of held calls approaches it and batches remain short. Not
  * thread-safe.
--- a/src/main/java/damsonseam/settings/PlatformSettings.java
+++ b/src/main/java/damsonseam/settings/PlatformSettings.java
@@ -13,7 +13,7 @@
 
 /**
  * The settings that the platform gives to an instance, keyed by path ({@code Caps.MaxAttempts},
- * {@code RequestClasses.0.Worth}), and their mapping to the settings of the decision module. Unknown paths are ignored.
+ * {@code RequestClasses.0.Worth}), and their mapping to the settings of the routing policy. Unknown paths are ignored.
  * The simulator's first message and the front node's configuration use the same paths. Immutable.
  */
 public final class PlatformSettings {
@@ -44,8 +44,8 @@
         return new PlatformSettings(values, errorFactory);
     }
 
-    /** Returns the settings of the decision module. */
-    public PolicySettings moduleSettings(long seed) {
+    /** Returns the settings of the routing policy. */
+    public PolicySettings policySettings(long seed) {
         return new PolicySettings(
                 seed,
                 integer("Balancers"),
--- a/src/main/java/damsonseam/settings/package-info.java
+++ b/src/main/java/damsonseam/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Maps the platform's settings and load reports to those of the decision module; shared by all programs. */
+/** Maps the platform's settings and load reports to those of the routing policy; shared by all programs. */
 package damsonseam.settings;
--- a/src/test/java/damsonseam/core/RouterTest.java
+++ b/src/test/java/damsonseam/core/RouterTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Runs the router with the decision module and one server, without sockets. Guards against attempts whose outcome is
- * never reported to the module, which then considers the server unresponsive and sends it no further calls.
+ * Runs the router with the routing policy and one server, without sockets. Guards against attempts whose outcome is
+ * never reported to the policy, which then considers the server unresponsive and sends it no further calls.
  */
 class RouterTest implements RouterPorts.ServerSignalling, RouterPorts.Directory {
     private final TimerWheel timers = new TimerWheel(0);
@@ -82,7 +82,7 @@
     @Test
     void setUpsOfAbandonedCallsDoNotCloseTheServer() {
         // Callers abandon their calls while the set-ups are pending, so the attempts are given up. In a bench run, a
-        // node stopped sending to any server because the outcomes of such attempts were not reported to the module.
+        // node stopped sending to any server because the outcomes of such attempts were not reported to the policy.
         double now = 10;
         for (int i = 0; i < 20; i++) {
             CallRecord call = offerCall(now, 2_000);
