--- a/src/main/java/damsonseam/node/CallerConnection.java
+++ b/src/main/java/damsonseam/node/CallerConnection.java
@@ -22,20 +22,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One connection from a caller: reads what it asks and owes it the answers. */
+/**
+ * A TCP connection from a caller: handles the requests that arrive on it and sends the responses. It keeps the calls
+ * whose INVITE arrived here and has no final response yet. Used on the event loop only.
+ */
 final class CallerConnection extends SimpleChannelInboundHandler<SipMessage> {
     private static final Logger LOG = LoggerFactory.getLogger(CallerConnection.class);
-    /** A connection that says nothing from the start, or nothing more amid a message, is closed after this. */
+    /** A connection without a first message, or with an unfinished one, is closed after so long a silence. */
     private static final double SILENCE_TIMEOUT_MS = 2_000;
-    /** One without an open call after this: callers close theirs sooner, those that forget give room. */
+    /** An idle connection without calls is closed after this; well-behaved callers close theirs sooner. */
     private static final double IDLE_TIMEOUT_MS = 10_000;
     /**
-     * At the limit of connections: the time in which a first set-up arrives and is read, also on part of a core; and
-     * how long one that has brought a set-up is idle before it gives way to another.
+     * At the connection limit, a connection without a set-up may be evicted after this time: a first set-up arrives and
+     * is read within it, even on a fraction of a CPU core.
      */
     private static final double EVICTABLE_AFTER_MS = 60;
-
+    /** At the connection limit, a connection that has brought a set-up may be evicted after being idle so long. */
     private static final double EVICTABLE_AFTER_IDLE_MS = 2_000;
+
     private static final int BAD_REQUEST = 400;
     private static final int METHOD_NOT_ALLOWED = 405;
     private static final int CALL_DOES_NOT_EXIST = 481;
@@ -46,15 +50,15 @@
     private final CallerListener listener;
     private final SocketChannel channel;
     private final SipDecoder decoder;
-    /** Set-ups of this connection that are not answered yet; the core's table bounds all of them. */
+    /** Calls whose INVITE arrived here and has no final response yet; bounded by the core's call table. */
     private final Set<NodeCall> pendingCalls = new HashSet<>();
 
     private InetAddress remoteHost;
-    /** Calls that stand and were named on this connection last. */
+    /** Number of established calls whose caller used this connection last. */
     private int establishedCalls;
 
     private double lastReceivedMs;
-    /** Since when part of a message stands here; NaN while none does. */
+    /** When the unfinished message began to arrive; NaN while there is none. */
     private double midMessageSinceMs = Double.NaN;
 
     private boolean messageReceived;
@@ -67,18 +71,18 @@
         this.decoder = decoder;
     }
 
-    // ---- The connection ---------------------------------------------------------------------------------
+    // ---- Connection -------------------------------------------------------------------------------------
 
     boolean isUsable() {
         return channel.isActive();
     }
 
-    /** Whether a set-up that can be used ever came: what sends none is no caller, whatever host it shares. */
+    /** Returns whether a valid INVITE ever arrived. A peer that sends none is no caller, whichever host it is on. */
     boolean hasSentInvite() {
         return inviteReceived;
     }
 
-    /** Whether this connection may be closed for another: it has no call, and had time to bring one. */
+    /** Returns whether this connection may be closed in favour of another: it has no call and had time to send one. */
     boolean isEvictable(double now) {
         return pendingCalls.isEmpty()
                 && establishedCalls == 0
@@ -89,11 +93,11 @@
         return other != null && remoteHost != null && remoteHost.equals(other.remoteHost);
     }
 
-    /** Whether the connection has been of no use for too long. */
+    /** Returns whether the connection has been silent or idle for too long, or its message has taken too long. */
     boolean isExpired(double now) {
         boolean midMessage = decoder.isMidMessage();
         double limitMs = !messageReceived || midMessage ? SILENCE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
-        // Whoever takes longer for one message than any caller waits for its answer wants none.
+        // A message that takes longer to arrive than any caller waits for its answer is not worth finishing.
         boolean messageOverdue =
                 midMessage && now - midMessageSinceMs > listener.inviteParser().maxPatienceMs();
         return pendingCalls.isEmpty()
@@ -101,15 +105,18 @@
                 && (now - lastReceivedMs > limitMs || messageOverdue);
     }
 
-    /** Sends a message with what else this turn brings; {@code sent} hears whether the system took it. */
+    /**
+     * Writes a message, to be flushed with all others of this event-loop iteration. {@code onWritten} is notified
+     * whether the operating system took it.
+     */
     void send(SipMessage message, Consumer<Boolean> onWritten) {
         var future = channel.write(SipEncoder.encode(channel.alloc(), message));
         if (onWritten != null) {
             future.addListener(completed -> onWritten.accept(completed.isSuccess()));
         }
         if (!channel.isWritable()) {
-            // Guards the memory against a caller that asks and does not read.
-            close("does not read");
+            // Bounds the memory used for a caller that sends requests and does not read the responses.
+            close("does not read responses");
             return;
         }
         if (!flushScheduled) {
@@ -121,19 +128,19 @@
         }
     }
 
-    /** Closes from this side, for a reason that the log tells. */
+    /** Closes the connection and logs the reason. */
     void close(String reason) {
         LOG.atDebug()
                 .addKeyValue("from", String.valueOf(channel.remoteAddress()))
                 .addKeyValue("why", reason)
                 .addKeyValue("open", pendingCalls.size())
                 .addKeyValue("standing", establishedCalls)
-                .log("caller closed");
+                .log("closing caller connection");
         channel.flush();
         channel.close();
     }
 
-    /** Says that nothing more comes, behind all that was said, and reads on until the caller closes. */
+    /** Shuts the output down behind all that was written, and reads on until the caller closes. */
     void finish() {
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(future -> channel.shutdownOutput());
     }
@@ -155,7 +162,7 @@
         establishedCalls += change;
     }
 
-    /** One of this connection's set-ups has its answer. */
+    /** Removes a call from the pending ones, since its INVITE gets its final response. */
     void removePending(NodeCall call) {
         pendingCalls.remove(call);
     }
@@ -173,7 +180,7 @@
             LOG.atDebug()
                     .addKeyValue("from", String.valueOf(channel.remoteAddress()))
                     .addKeyValue("open", pendingCalls.size())
-                    .log("caller gone with set-ups open");
+                    .log("caller connection lost with pending calls");
         }
         listener.onClosed(this);
         abandonPending();
@@ -196,9 +203,9 @@
         LOG.atDebug()
                 .addKeyValue("from", String.valueOf(channel.remoteAddress()))
                 .addKeyValue("why", reason.toString())
-                .log("caller's connection closed");
+                .log("caller connection failed");
         if (reason instanceof SipFormatException && channel.isActive()) {
-            // Where the next message starts is not known: told once, then closed.
+            // The start of the next message is unknown: the caller gets one response, then the connection is closed.
             channel.writeAndFlush(SipEncoder.encode(
                             channel.alloc(), SipMessage.response(BAD_REQUEST, "Bad Request", null, null)))
                     .addListener(ChannelFutureListener.CLOSE);
@@ -206,14 +213,14 @@
             return;
         }
         if (!(reason instanceof java.io.IOException) && !(reason instanceof SipFormatException)) {
-            LOG.atError().setCause(reason).log("a defect met by a caller's message");
+            LOG.atError().setCause(reason).log("internal error while handling a message from a caller");
         }
         close(reason.toString());
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        // Part of a message counts as a word too: only when no more comes is its sender silent.
+        // Part of a message counts as activity: its sender is silent only when nothing more arrives.
         lastReceivedMs = listener.loop().now();
         midMessageSinceMs = !decoder.isMidMessage()
                 ? Double.NaN
@@ -221,7 +228,7 @@
         ctx.fireChannelReadComplete();
     }
 
-    // ---- What it says -----------------------------------------------------------------------------------
+    // ---- Requests ---------------------------------------------------------------------------------------
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, SipMessage message) {
@@ -307,7 +314,10 @@
                                 call));
     }
 
-    /** A second set-up under an id in use: which of the two its sender means can't be known. */
+    /**
+     * Rejects an INVITE whose Call-ID is in use. If the same connection sent both with different offers, the earlier
+     * call is abandoned too, since it is unknown which of the two its sender means.
+     */
     private void rejectMerged(SipMessage message, NodeCall existing) {
         if (existing.caller == this
                 && pendingCalls.contains(existing)
@@ -318,10 +328,10 @@
         reply(message, REQUEST_MERGED, "Request Merged");
     }
 
-    /** A call that stands already: from now on its release goes to this connection. */
+    /** Handles the report of a call that is established already: its release goes to this connection from now on. */
     private void onEstablishedInvite(SetUpRequest setUp, SipMessage message, NodeCall existing, double now) {
         if (existing != null) {
-            // Taken over from a connection that has gone only: who merely knows an id does not get its release.
+            // Only a closed connection loses its call: knowing a Call-ID is not enough to get the call's release.
             if (existing.establishedServer != null
                     && existing.establishedServer.id().equals(setUp.establishedServerId())
                     && !existing.caller.isUsable()) {
@@ -355,7 +365,7 @@
         } else if (call.establishedServer == null) {
             terminate(call);
         } else {
-            // It crossed the answer: its caller has gone, and both sides hear that the call is over.
+            // The CANCEL crossed the 200: the caller has abandoned the call, and both sides get a release.
             listener.callRegistry().releaseByCaller(call);
             listener.callRegistry().releases().send(call, CallRegistry.CAUSE_NORMAL_CLEARING);
         }
--- a/src/main/java/damsonseam/node/CallerListener.java
+++ b/src/main/java/damsonseam/node/CallerListener.java
@@ -25,16 +25,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Where callers connect. Connections are bounded; at the limit those of no use give way. */
+/**
+ * Accepts connections from callers and keeps them. The number of connections is bounded by the file descriptors that
+ * are left beside those reserved for servers; at the limit, connections that serve no call are evicted. Used on the
+ * event loop only, except {@link #bind}, {@link #address} and {@link #peakConnections}.
+ */
 final class CallerListener {
     private static final Logger LOG = LoggerFactory.getLogger(CallerListener.class);
-    /** Octets waiting to be sent beyond which a caller is taken not to read, and is closed. */
+    /** Bytes waiting to be sent beyond which a caller is considered not to read, and is closed. */
     static final int MAX_UNSENT_BYTES = 256 << 10;
 
     private static final int ACCEPT_BACKLOG = 512;
-    /** Connections accepted in one turn of the loop: callers with calls are not kept waiting by newcomers. */
+    /** Connections accepted per event-loop iteration: new connections must not delay callers that have calls. */
     private static final int ACCEPTS_PER_ITERATION = 4;
-    /** How long nobody is accepted where the system had no descriptor for the last. */
+    /** Pause in accepting after an accept failed, which means that the process had no file descriptor left. */
     private static final double ACCEPT_RETRY_DELAY_MS = 50;
 
     private static final double SWEEP_INTERVAL_MS = 50;
@@ -43,11 +47,11 @@
     private final InviteParser inviteParser;
     private final CallRegistry callRegistry;
     private final ServerEndpoints serverEndpoints;
-    /** Descriptors for callers and for servers together. */
+    /** File descriptors for callers and servers together. */
     private final int maxDescriptors;
 
     private final BooleanSupplier ready;
-    /** In the order in which they were last heard of. */
+    /** Open connections, the one with the latest message last. */
     private final Set<CallerConnection> connections = new LinkedHashSet<>();
 
     private Router router;
@@ -77,7 +81,7 @@
         loop.timers().set(loop.now() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
-    /** Opens the port. */
+    /** Opens the port and waits until it is open. */
     void bind(InetSocketAddress address) throws IOException {
         ChannelFuture bindFuture = new ServerBootstrap()
                 .group(loop.eventLoop())
@@ -114,7 +118,7 @@
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** The most connections that there were at a time. */
+    /** Returns the largest number of connections that were open at a time. */
     int peakConnections() {
         return peakConnections;
     }
@@ -123,12 +127,12 @@
         return channel.pipeline();
     }
 
-    /** Whether no connection waits for room to be accepted: what came on one has been read. */
+    /** Returns whether new connections are accepted, so that none waits unread in the backlog. */
     boolean isAccepting() {
         return channel.config().isAutoRead();
     }
 
-    /** A connection was accepted. */
+    /** Registers a connection that was accepted. */
     void onConnected(CallerConnection connection) {
         connections.add(connection);
         lastActivityMs = loop.now();
@@ -136,12 +140,12 @@
         enforceConnectionLimit(lastActivityMs);
     }
 
-    /** What is left beside a connection to each server that the list names, however many these are. */
+    /** Returns the limit of caller connections: what the server connections leave of the file descriptors. */
     private int maxConnections() {
         return Math.max(1, maxDescriptors - serverEndpoints.reservedDescriptors());
     }
 
-    /** Netty's own answer to an accept that fails is a second without any; here one connection may give way. */
+    /** Evicts a connection when an accept fails. Netty itself would stop accepting for a second. */
     private final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
@@ -149,14 +153,14 @@
             LOG.atWarn()
                     .addKeyValue("why", cause.toString())
                     .addKeyValue("connections", connections.size())
-                    .log("a caller could not be accepted");
+                    .log("caller connection could not be accepted");
             acceptFromMs = now + ACCEPT_RETRY_DELAY_MS;
             evictOne(now);
             enforceConnectionLimit(now);
         }
     }
 
-    /** Closes the connection of the least use; false if each may be needed. */
+    /** Closes the least useful connection and returns true, or returns false if none may be evicted. */
     private boolean evictOne(double now) {
         CallerConnection evicted = connections.stream()
                 .filter(connection -> connection.isEvictable(now) && !connection.hasSentInvite())
@@ -170,14 +174,14 @@
         }
         evictedConnections++;
         connections.remove(evicted);
-        evicted.close("gives way");
+        evicted.close("evicted at the connection limit");
         return true;
     }
 
     /**
-     * Where the limit is reached, connections that have been silent for long enough give way, then those without calls,
-     * the longest ago first. One that has just come is never closed for another, as its first set-up may be on its way:
-     * while none can give way, the next wait with the system.
+     * Evicts connections while the limit is reached: first those that never sent a set-up, then idle ones without
+     * calls, the longest silent first. A new connection is never evicted, as its first set-up may be on its way: while
+     * none can be evicted, accepting stops and further connections wait in the operating system's backlog.
      */
     private void enforceConnectionLimit(double now) {
         while (connections.size() >= maxConnections()) {
@@ -192,7 +196,7 @@
                     .addKeyValue("connections", connections.size())
                     .addKeyValue("peak", peakConnections)
                     .addKeyValue("gaveWay", evictedConnections)
-                    .log(accept ? "callers are accepted again" : "callers wait to be accepted");
+                    .log(accept ? "accepting caller connections again" : "not accepting caller connections");
         }
     }
 
@@ -201,14 +205,16 @@
     }
 
     /**
-     * Another connection that a release may take, or null. No connection owns a call, and callers need not come from
-     * one host: one on which a call stands is a caller's for sure, as nobody else is ever given one; of these, one of
-     * the same host before others. Else one of the same host that has sent a set-up. Of equals the one heard of last.
+     * Returns another connection on which a release may be sent, or null. Calls are not bound to a connection, and
+     * callers need not be on one host. A connection with established calls certainly belongs to a caller and is
+     * preferred, one on the same host before others. Otherwise a connection on the same host that has sent a set-up is
+     * chosen. Among equals the one with the latest message wins.
      *
-     * @param excluded the connection on which the release was said before, or null
+     * @param original the connection that the call belongs to, or null
+     * @param excluded the connection on which the release was sent before, or null
      */
     CallerConnection findAlternative(CallerConnection original, CallerConnection excluded) {
-        CallerConnection found = null;
+        CallerConnection alternative = null;
         int bestScore = 1;
         for (CallerConnection connection : connections) {
             boolean eligible = connection != excluded && connection.isUsable() && connection.hasSentInvite();
@@ -216,11 +222,11 @@
                     ? 0
                     : (connection.hasEstablishedCalls() ? 2 : 0) + (connection.hasSameHost(original) ? 1 : 0);
             if (score >= bestScore) {
-                found = connection;
+                alternative = connection;
                 bestScore = score;
             }
         }
-        return found;
+        return alternative;
     }
 
     void onMessage(CallerConnection connection) {
@@ -270,12 +276,12 @@
         return connections.size();
     }
 
-    /** When a caller last said something or connected. */
+    /** Returns when a caller last connected or sent a message, in milliseconds of the loop's clock. */
     double lastActivityMs() {
         return lastActivityMs;
     }
 
-    /** Closes the port, and each connection once its caller has read all that was said there. */
+    /** Closes the port, and lets each connection close once its caller has read all that was written to it. */
     void finish() {
         channel.close();
         List.copyOf(connections).forEach(CallerConnection::finish);
@@ -285,6 +291,6 @@
         if (channel != null) {
             channel.close();
         }
-        List.copyOf(connections).forEach(connection -> connection.close("node ends"));
+        List.copyOf(connections).forEach(connection -> connection.close("node stops"));
     }
 }
--- a/src/main/java/damsonseam/node/CoordinatorClient.java
+++ b/src/main/java/damsonseam/node/CoordinatorClient.java
@@ -24,14 +24,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the coordinator: numbered changes of the list of servers in binary frames. A connection that breaks, brings
- * no frame for longer than the platform ever lets pass, or shows a gap in the numbers is made again from the last
- * number had. There is one watch at a time, and each one that ends is followed by one backoff, whoever asks: a fleet
- * that loses its coordinator must not storm it when it returns.
+ * Subscribes to the coordinator, which sends numbered server-list updates in binary frames. If the connection breaks,
+ * brings no frame within {@link #SILENCE_TIMEOUT_MS} or shows a gap in the numbers, the client connects again and asks
+ * for the updates after the last one that it has. There is one connection at a time, and each one that ends is followed
+ * by one backoff, whoever requests an update: a fleet that lost its coordinator must not flood it when it returns.
+ * Used on the event loop only.
  */
 final class CoordinatorClient implements Ports.Directory {
     private static final Logger LOG = LoggerFactory.getLogger(CoordinatorClient.class);
-    /** A frame comes each second; two missing ones would be late for what a silent coordinator owes. */
+    /** The coordinator sends a frame each second; waiting for two missing ones would detect its silence too late. */
     private static final double SILENCE_TIMEOUT_MS = 1_500;
 
     private static final double INITIAL_BACKOFF_MS = 50;
@@ -49,14 +50,18 @@
     private Channel channel;
     private double lastReceivedMs;
     private double backoffMs = INITIAL_BACKOFF_MS;
-    /** Counts watches and backoffs: what belongs to an earlier one is passed over. */
+    /** Counts connections and backoffs: events of an earlier generation are ignored. */
     private long generation;
-    /** The highest number that a frame of nothing new made this node ask for: asked for once. */
+    /** Highest number for which a gap made the client reconnect: it does so once for each number. */
     private long lastGapNumber;
 
     private boolean closed;
 
-    /** @param seed spreads the backoffs of a fleet */
+    /**
+     * Creates a client that is not connected yet.
+     *
+     * @param seed seed of the jitter that spreads the backoffs of a fleet
+     */
     CoordinatorClient(Loop loop, ServerEndpoints serverEndpoints, Endpoint address, long seed) {
         this.loop = loop;
         this.serverEndpoints = serverEndpoints;
@@ -64,35 +69,38 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Applies what the configuration knows already, and connects. */
+    /** Applies the updates of the configuration and connects. */
     void start(Router router, List<ServerListUpdate> knownUpdates) {
         this.router = router;
         knownUpdates.forEach(this::apply);
         connect();
     }
 
-    /** The module asks for the list before the start, which connects by itself, or when it was told of a failure. */
+    /**
+     * Requests the server list for the module, which does so before the start, when {@link #start} connects anyway, and
+     * after a failure.
+     */
     @Override
     public void follow() {
         fetch();
     }
 
-    /** Asks from the last number had, after the backoff; while an ask is out that is the one. */
+    /** Reconnects after the backoff and asks for the updates after the last one; does nothing while not connected. */
     @Override
     public void fetch() {
         if (channel != null) {
-            onConnectionLost(generation, "asked for");
+            onConnectionLost(generation, "update requested");
         }
     }
 
-    /** The coordinator is at another address from now on; numbers go on. */
+    /** Connects to the coordinator at a new address; the numbers of the updates continue. */
     void changeAddress(Endpoint newAddress, List<ServerListUpdate> knownUpdates) {
         knownUpdates.forEach(this::apply);
         if (!newAddress.equals(address)) {
             LOG.atInfo()
                     .addKeyValue("from", address.toString())
                     .addKeyValue("to", newAddress.toString())
-                    .log("coordinator moved");
+                    .log("coordinator address changed");
             address = newAddress;
             backoffMs = INITIAL_BACKOFF_MS;
             connect();
@@ -130,7 +138,7 @@
         scheduleSilenceCheck(connectionGeneration);
     }
 
-    /** Ends the watch or backoff that there is, and begins the count of the next. */
+    /** Ends the present connection or backoff, and returns the generation of the next. */
     private long disconnect() {
         if (channel != null) {
             channel.close();
@@ -145,7 +153,7 @@
                 return;
             }
             if (now - lastReceivedMs > SILENCE_TIMEOUT_MS) {
-                onConnectionLost(connectionGeneration, "silent");
+                onConnectionLost(connectionGeneration, "no frame in time");
             } else {
                 scheduleSilenceCheck(connectionGeneration);
             }
@@ -159,7 +167,7 @@
         LOG.atInfo()
                 .addKeyValue("why", reason)
                 .addKeyValue("last", router.pool().version())
-                .log("coordinator lost");
+                .log("coordinator connection lost");
         long nextGeneration = disconnect();
         double delayMs = backoffMs * (0.5 + 0.5 * random.nextDouble());
         backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
@@ -170,19 +178,19 @@
         });
     }
 
-    /** One frame; null says that nothing is new, as of {@code number}. */
+    /** Handles one frame; a null update means that there is no update up to {@code number} that this node lacks. */
     private void onFrame(long connectionGeneration, long number, ServerListUpdate update) {
         lastReceivedMs = loop.now();
         if (update != null ? apply(update) : number <= router.pool().version() || number <= lastGapNumber) {
             backoffMs = INITIAL_BACKOFF_MS;
             return;
         }
-        // An event before this number never came, and none will on this connection.
+        // An update before this number is missing and will not arrive on this connection.
         lastGapNumber = Math.max(lastGapNumber, number);
-        onConnectionLost(connectionGeneration, "a gap before " + number);
+        onConnectionLost(connectionGeneration, "gap in updates before " + number);
     }
 
-    /** Events that were had already are passed over; a gap asks again from the last number had. */
+    /** Applies an update, unless it has been applied already; returns false if one before it is missing. */
     private boolean apply(ServerListUpdate update) {
         if (update.number() <= router.pool().version()) {
             return true;
@@ -195,11 +203,11 @@
                 .addKeyValue("number", update.number())
                 .addKeyValue("full", update.full())
                 .addKeyValue("entries", update.entries().toString())
-                .log("list");
+                .log("server list updated");
         return !gap;
     }
 
-    /** Reads one frame behind its length and number; null where it holds nothing new. */
+    /** Parses a frame behind its length and number; returns null if it holds no update. */
     static ServerListUpdate parseFrame(long number, ByteBuf frame) {
         int kind = frame.readUnsignedByte();
         if (kind == 0) {
@@ -207,7 +215,7 @@
         }
         if (kind > 2 || frame.readableBytes() % RECORD_BYTES != 0) {
             throw new IllegalArgumentException(
-                    "a frame of kind " + kind + " with " + frame.readableBytes() + " octets of records");
+                    "invalid frame of kind " + kind + " with " + frame.readableBytes() + " bytes of records");
         }
         List<ServerListUpdate.Entry> entries = new ArrayList<>();
         while (frame.isReadable()) {
@@ -217,11 +225,11 @@
             int port = frame.readUnsignedShort();
             int state = frame.readUnsignedByte();
             if (state > 2) {
-                throw new IllegalArgumentException("a server in state " + state);
+                throw new IllegalArgumentException("unknown server state " + state);
             }
-            frame.skipBytes(2); // Zone and kind: the module has no use for them.
+            frame.skipBytes(2); // Zone and kind, not used.
             int cell = frame.readUnsignedShort();
-            frame.skipBytes(4); // Weight.
+            frame.skipBytes(4); // Weight, not used.
             entries.add(new ServerListUpdate.Entry(
                     id,
                     host + ":" + port,
@@ -240,6 +248,7 @@
         }
     }
 
+    /** Asks for updates when the connection is established, and handles its frames. */
     private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private final long connectionGeneration;
 
@@ -263,7 +272,7 @@
                 return;
             }
             if (frame.readableBytes() < HEADER_BYTES) {
-                throw new IllegalArgumentException("a frame of " + frame.readableBytes() + " octets");
+                throw new IllegalArgumentException("frame too short: " + frame.readableBytes() + " bytes");
             }
             long number = frame.readLong();
             onFrame(connectionGeneration, number, parseFrame(number, frame));
@@ -272,12 +281,12 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            onConnectionLost(connectionGeneration, "closed");
+            onConnectionLost(connectionGeneration, "connection closed");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            LOG.atInfo().addKeyValue("why", cause.toString()).log("coordinator's connection");
+            LOG.atInfo().addKeyValue("why", cause.toString()).log("coordinator connection failed");
             ctx.close();
         }
     }
--- a/src/main/java/damsonseam/node/InviteParser.java
+++ b/src/main/java/damsonseam/node/InviteParser.java
@@ -5,11 +5,14 @@
 import damsonseam.sip.SipMessage;
 import java.util.List;
 
-/** How calls and reports are read off messages, as far as the settings say. */
+/**
+ * Parses and validates the INVITE of a caller according to the settings' classes. Also holds the fields of load
+ * reports, which the settings define too. Immutable.
+ */
 final class InviteParser {
     private static final int CALL_ID_LENGTH = 16;
     private static final int MAX_NUMBER_LENGTH = 64;
-    /** Longest wait that a caller may name, in milliseconds: a day, far beyond any deadline. */
+    /** Largest accepted X-Timer-Ms: a day, far beyond any deadline. */
     private static final double MAX_TIMER_MS = 86_400_000;
 
     private static final int MAX_LEG_VALUE = 65_535;
@@ -28,7 +31,7 @@
         reportFields = new ReportFields(settings.reportFields(), ';');
     }
 
-    /** The longest that a caller of any class waits for an answer, in milliseconds. */
+    /** Returns the longest time for which a caller of any class waits for an answer, in milliseconds. */
     double maxPatienceMs() {
         return maxPatienceMs;
     }
@@ -38,9 +41,18 @@
     }
 
     /**
-     * What a set-up says.
+     * The content of a valid INVITE.
      *
-     * @param establishedServerId the server at which the call stands already, or null
+     * @param callId the Call-ID
+     * @param requestUri the Request-URI
+     * @param number the called number, from the Request-URI
+     * @param classIndex index of the call's class in the settings
+     * @param className name of the call's class
+     * @param patienceMs how long the caller waits for the final response, in milliseconds
+     * @param redial whether the caller has tried this call before
+     * @param destinationCell cell of the destination, or -1
+     * @param establishedServerId id of the server at which the call is established already, or null
+     * @param legs the value of X-Legs, or null
      */
     record SetUpRequest(
             String callId,
@@ -54,7 +66,7 @@
             String establishedServerId,
             String legs) {}
 
-    /** A message that can't be used; the text says what was expected. */
+    /** An INVITE that is not valid; the message says what was expected. */
     static final class InvalidInviteException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -63,14 +75,14 @@
         }
     }
 
-    /** Whether a text is an id of a call. */
+    /** Returns whether a text has the form of a Call-ID. */
     static boolean isCallId(String text) {
         return text != null
                 && text.length() == CALL_ID_LENGTH
                 && text.chars().allMatch(c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F');
     }
 
-    /** Reads a set-up; every figure is checked for form and range. */
+    /** Parses an INVITE and checks the form and range of every value. */
     SetUpRequest parse(SipMessage invite) throws InvalidInviteException {
         require(isCallId(invite.callId()), "a Call-ID of 16 hex digits");
         require(invite.cseqNumber() >= 0 && invite.cseqMethod().equals(SipMessage.INVITE), "CSeq with INVITE");
@@ -104,7 +116,7 @@
                     require(value.matches("s-[0-9a-f]{8}"), "at with a server");
                     establishedServerId = value;
                 }
-                default -> {} // A figure that later versions may bring.
+                default -> {} // Unknown names are reserved for later versions.
             }
         }
         String timer = invite.headers().get("X-Timer-Ms");
--- a/src/main/java/damsonseam/node/NodeCall.java
+++ b/src/main/java/damsonseam/node/NodeCall.java
@@ -5,39 +5,39 @@
 import damsonseam.core.Ports;
 
 /**
- * What the protocol keeps of one call beside the core's record: what is passed on unchanged, and who is owed
- * what. A call that stood before this node's start has no record, as the module never had it.
+ * A call as the SIP side sees it, beside the core's record: what is passed on unchanged, the caller's connection and
+ * the server. A call established before this node's start has no record, as the module never had it. Event loop only.
  */
 final class NodeCall implements Ports.Caller {
-    /** The id that the caller gave. */
+    /** The caller's Call-ID. */
     final String id;
-    /** The address of the set-up's first line. */
+    /** The Request-URI of the INVITE. */
     final String requestUri;
-    /** The class by its name. */
+    /** The name of the call's class. */
     final String className;
-    /** X-Legs as it came, or null. */
+    /** The value of X-Legs in the INVITE, or null. */
     final String legs;
-    /** CSeq of the set-up, which its answers repeat. */
+    /** The CSeq of the INVITE, which its responses repeat. */
     final String cseq;
-    /** The caller's description; let go once the call stands. */
+    /** The body of the INVITE, the caller's session description; null once the call is established. */
     byte[] offer;
-    /** The signalling server's description, from its answer until it has been passed on. */
+    /** The body of the 200, the signalling server's session description; null once it has been passed on. */
     byte[] answer;
-    /** Content-Type of that answer, or null. */
+    /** The Content-Type of the 200, or null. */
     String answerContentType;
-    /** The connection that named the call last. */
+    /** The connection on which the caller sent the INVITE or last reported the call. */
     CallerConnection caller;
-    /** The core's record, null for a call that is not the core's. */
+    /** The core's record, null for a call that the core does not know. */
     CallRecord record;
-    /** The server whose answer the core is being told of, else null. */
+    /** The server whose 200 is being passed to the core, else null. */
     ServerEndpoint answeringServer;
-    /** Where an attempt broke or was given up last: it may run there all the same, under the same id. */
+    /** The server where an attempt broke or was cancelled last: it may be established there with the same Call-ID. */
     ServerEndpoint brokenAttemptServer;
-    /** The connection that brought the answer; its server says the release there, too. */
+    /** The connection that brought the 200; the server sends the BYE on the same one. */
     ServerConnection establishedConnection;
-    /** The server at which it stands, else null. */
+    /** The server at which the call is established, else null. */
     ServerEndpoint establishedServer;
-    /** When it began to stand, on the node's clock. */
+    /** When the call was established, in milliseconds of the node's clock. */
     double establishedAtMs;
 
     private final CallRegistry callRegistry;
--- a/src/main/java/damsonseam/node/NodeConfig.java
+++ b/src/main/java/damsonseam/node/NodeConfig.java
@@ -15,17 +15,17 @@
 import java.util.Map;
 
 /**
- * What a front node is told at its start and again at SIGHUP, read from the JSON file that {@code NODE_CONFIG}
- * names. Keys that are not known are skipped.
+ * The configuration of a front node, read at the start and again at SIGHUP from the JSON file that
+ * {@code NODE_CONFIG} names. Unknown keys are ignored.
  *
  * @param name the node's name, the same after a restart
- * @param listen where callers connect
- * @param seed for random numbers, new with each start
- * @param maxSockets file descriptors that the process may hold
- * @param memoryMb memory beyond which the platform kills the process, in MB
- * @param coordinator where the changes of the list come from
- * @param knownUpdates the changes so far, by rising numbers
- * @param settings what the simulator tells an instance at its start
+ * @param listen address on which callers connect
+ * @param seed seed for random numbers, different at each start
+ * @param maxSockets limit of the process's file descriptors
+ * @param memoryMb memory limit in MB beyond which the platform kills the process; 0 if unknown
+ * @param coordinator address of the coordinator, which sends the server-list updates
+ * @param knownUpdates the server-list updates so far, in ascending order of their numbers
+ * @param settings the platform's settings
  */
 public record NodeConfig(
         String name,
@@ -36,17 +36,17 @@
         Endpoint coordinator,
         List<ServerListUpdate> knownUpdates,
         StartSettings settings) {
-    /** Octets of the file at the most: it is read whole. */
+    /** Size limit of the file, which is read whole. */
     private static final int MAX_FILE_BYTES = 4 << 20;
 
     private static final int SEED_RADIX = 16;
     private static final int MIN_SOCKETS = 64;
 
-    /** Reads the file; a fault is told in one line that names the file and the key. */
+    /** Reads the file; the message of an exception is one line that names the file and the key. */
     public static NodeConfig read(Path file) throws SettingsException {
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
-                throw new SettingsException(file + ": more than " + MAX_FILE_BYTES + " octets");
+                throw new SettingsException(file + ": more than " + MAX_FILE_BYTES + " bytes");
             }
             return fromJson(new ObjectMapper().readTree(Files.readAllBytes(file)));
         } catch (IOException | IllegalArgumentException e) {
@@ -73,12 +73,15 @@
     private static JsonNode require(JsonNode root, String key) {
         JsonNode value = root.path(key);
         if (value.isMissingNode() || value.isNull()) {
-            throw new IllegalArgumentException("the key '" + key + "' is missing");
+            throw new IllegalArgumentException("missing key '" + key + "'");
         }
         return value;
     }
 
-    /** The paths that the wire writes for the same settings: plain lists joined, lists of others by place. */
+    /**
+     * Flattens the settings to paths as the simulator writes them: arrays of scalars are joined with commas, elements
+     * of other arrays are numbered.
+     */
     private static void flatten(String path, JsonNode node, Map<String, String> paths) {
         if (node.isObject()) {
             node.fields()
@@ -110,7 +113,7 @@
                             case "draining" -> State.DRAINING;
                             case "gone" -> State.GONE;
                             default ->
-                                throw new IllegalArgumentException("a member's phase is ready, draining or gone, not "
+                                throw new IllegalArgumentException("expected phase ready, draining or gone, not "
                                         + member.path("phase").asText());
                         };
                 entries.add(new ServerListUpdate.Entry(
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -25,29 +25,32 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One running front node: its sockets, its core and its module, all on one event loop. */
+/**
+ * A running front node. Owns the caller listener, the server endpoints, the coordinator client, the core's router and
+ * the decision module, which all run on one event loop. The public methods may be called from any other thread.
+ */
 public final class NodeServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(NodeServer.class);
-    /** One arena of 256 KiB chunks without caches of other threads: all buffers belong to one loop. */
+    /** Buffers from one arena of 256 KiB chunks without thread caches, as only the event loop allocates. */
     static final ByteBufAllocator ALLOCATOR = new PooledByteBufAllocator(true, 1, 1, 8192, 5, 0, 0, true);
-    /** The beat of the loop, in milliseconds: well under the module's own beat of 20. */
+    /** Tick of the loop: well below the module's own tick of 20 ms. */
     private static final double TICK_MS = 2;
-    /** How long before a caller gives up the core fails a call still unanswered; the module acts sooner. */
+    /** How long before its deadline the core fails a call that is still unanswered; the module acts sooner. */
     private static final double ANSWER_MARGIN_MS = 8;
-    /** How long a give-up may take to be written before its attempt counts as over all the same. */
+    /** How long the CANCEL of an attempt may take to be written before the attempt counts as ended anyway. */
     private static final double RELEASE_WRITE_TIMEOUT_MS = 100;
 
     private static final double DEFAULT_CONNECT_TIMEOUT_MS = 500;
     private static final int DEFAULT_MAX_OPEN_CALLS = 20_000;
-    /** Open calls that a megabyte of memory is given for: one may hold two descriptions of 16 KiB at worst. */
+    /** Open calls allowed per megabyte of memory: in the worst case a call holds two bodies of 16 KiB. */
     private static final int CALLS_PER_MB = 32;
-    /** Descriptors that the process itself holds: some 55 jars, pipes, the selector, the listener; and some spare. */
+    /** File descriptors of the process itself: some 55 jars, pipes, the selector, the listener, and some in reserve. */
     private static final int RESERVED_DESCRIPTORS = 72;
-    /** Connections to all servers at the most, and as a share of the descriptors. */
+    /** Limit of the connections to all servers together. */
     private static final int MAX_SERVER_CONNECTIONS = 96;
-
+    /** Server connections use at most the file descriptors divided by this. */
     private static final int SERVER_DESCRIPTOR_DIVISOR = 6;
-    /** A pause of the loop that the log tells of: callers and the module's estimates feel it. */
+    /** Shortest pause of the event loop that is logged: callers and the module's estimates are affected by it. */
     private static final double MIN_LOGGED_PAUSE_MS = 250;
 
     private final NodeConfig config;
@@ -82,7 +85,7 @@
                 maxServerConnections,
                 config.seed(),
                 moduleSettings.mayProbe().orElse(false));
-        // Callers may take a third of the descriptors; all that is left is room for those that only knock.
+        // Callers that send set-ups need a third of the descriptors; the rest is for peers that only connect.
         callerListener = new CallerListener(
                 loop,
                 inviteParser,
@@ -100,14 +103,14 @@
                 new CallTable(maxOpenCalls, System.currentTimeMillis() / 1000),
                 loop.timers(),
                 (call, number, deadline) -> {
-                    throw new IllegalStateException("a front node looks no numbers up");
+                    throw new IllegalStateException("a front node does not look up numbers");
                 },
                 serverEndpoints,
                 coordinator,
                 LoggerFactory.getLogger(CallLog.NAME).isInfoEnabled() ? new CallLog(config.name()) : Story.NONE);
     }
 
-    /** Starts a front node; returns when its port is open. */
+    /** Starts a front node and returns when its port is open. */
     public static NodeServer start(NodeConfig config) throws IOException {
         NodeServer node = new NodeServer(config);
         try {
@@ -141,7 +144,7 @@
     private void tick() {
         double now = loop.now();
         if (now - lastTickMs > MIN_LOGGED_PAUSE_MS && lastTickMs > 0) {
-            LOG.atInfo().addKeyValue("ms", Math.round(now - lastTickMs)).log("stood still");
+            LOG.atInfo().addKeyValue("ms", Math.round(now - lastTickMs)).log("event loop paused");
         }
         lastTickMs = now;
         router.beat(now);
@@ -151,12 +154,12 @@
         return !draining && serverEndpoints.isReady();
     }
 
-    /** Where callers connect. */
+    /** Returns the address on which callers connect. */
     public InetSocketAddress address() {
         return callerListener.address();
     }
 
-    /** A new configuration: only the coordinator's address changes while a node runs. */
+    /** Applies a new configuration: its updates and the coordinator's address; nothing else changes at run time. */
     public void reload(NodeConfig newConfig) {
         if (!loop.eventLoop().isShuttingDown()) {
             callOnLoop(() -> {
@@ -166,9 +169,9 @@
         }
     }
 
-    /** Answers what still comes, finishes what is open, and ends. */
+    /** Answers the set-ups that still arrive, finishes the pending calls and stops; returns when that is done. */
     public void drain() throws InterruptedException {
-        LOG.atInfo().addKeyValue("node", config.name()).log("ending");
+        LOG.atInfo().addKeyValue("node", config.name()).log("front node stopping");
         CompletableFuture<Void> done = callOnLoop(() -> {
             draining = true;
             return new Shutdown(loop, router, callerListener, serverEndpoints, pendingReleases, classes).start();
@@ -178,7 +181,7 @@
                 .addKeyValue("node", config.name())
                 .addKeyValue("owed", pendingAnswers())
                 .addKeyValue("standing", callOnLoop(() -> callRegistry.size()))
-                .log("ended");
+                .log("front node stopped");
         close();
     }
 
@@ -186,36 +189,36 @@
         return callOnLoop(() -> router.owed());
     }
 
-    /** Calls of callers, those that stand included. */
+    /** Returns the number of open calls, established ones included. */
     int openCalls() {
         return callOnLoop(() -> callRegistry.size());
     }
 
-    /** Connections from callers. */
+    /** Returns the number of connections from callers. */
     int callerConnections() {
         return callOnLoop(() -> callerListener.connectionCount());
     }
 
-    /** Signalling servers that are still of use. */
+    /** Returns the number of signalling servers in use. */
     int serverCount() {
         return callOnLoop(() -> serverEndpoints.size());
     }
 
-    /** Number of the last change of the list. */
+    /** Returns the number of the last server-list update. */
     long serverListVersion() {
         return callOnLoop(() -> router.pool().version());
     }
 
     /**
-     * What the node holds to be so, in places that must agree.
+     * Counts of the same things taken from different tables, for checking that these agree.
      *
-     * @param openCalls calls of callers, those that stand included
-     * @param coreCalls those that the core has, too: all but the ones taken over from before the start
-     * @param pendingAnswers calls whose callers are owed an answer, by the core's count
-     * @param attempts attempts that have not ended, at all servers
-     * @param carriedAttempts attempts by the counts of the connections that carry them, and those that wait for one
-     * @param establishedAtServers calls that stand, by servers
-     * @param establishedAtCallers calls that stand, by the connections of their callers
+     * @param openCalls open calls, established ones included
+     * @param coreCalls open calls that the core knows: all but those adopted from before the start
+     * @param pendingAnswers calls without a final answer, as counted by the core
+     * @param attempts attempts without an outcome, at all servers
+     * @param carriedAttempts the same as counted by the connections, and the attempts that wait for one
+     * @param establishedAtServers established calls as counted by the servers
+     * @param establishedAtCallers established calls as counted by the connections of their callers
      */
     record ConsistencyCounts(
             int openCalls,
@@ -231,7 +234,7 @@
                 callRegistry.size(),
                 router.open(),
                 router.owed(),
-                serverEndpoints.attempts(),
+                serverEndpoints.outstandingAttempts(),
                 serverEndpoints.carriedAttempts(),
                 serverEndpoints.establishedCalls(),
                 callRegistry.establishedAtCallers()));
@@ -249,7 +252,7 @@
         return callerListener;
     }
 
-    /** Counts since the start; read them when the node is at rest. */
+    /** Returns the counters since the start, which are consistent only while no call is being handled. */
     public Counters counters() {
         return router.counters();
     }
@@ -265,7 +268,7 @@
         }
     }
 
-    /** Ends at once, as a crash would look from outside. */
+    /** Stops at once without finishing any call: to peers this looks like a crash. */
     @Override
     public synchronized void close() {
         if (closed) {
--- a/src/main/java/damsonseam/node/ServerConnection.java
+++ b/src/main/java/damsonseam/node/ServerConnection.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One connection to a signalling server. */
+/** A TCP connection to a signalling server, with the number of attempts outstanding on it. Event loop only. */
 final class ServerConnection extends SimpleChannelInboundHandler<SipMessage> {
     private static final Logger LOG = LoggerFactory.getLogger(ServerConnection.class);
 
@@ -31,7 +31,7 @@
         this.decoder = decoder;
     }
 
-    /** Attempts out on this connection. */
+    /** Returns the number of attempts assigned to this connection that have no outcome yet. */
     int outstanding() {
         return outstanding;
     }
@@ -44,22 +44,25 @@
         return channel.isActive() && channel.isWritable();
     }
 
-    /** Whether a set-up was given up here that went out after the last word on this connection. */
+    /** Returns whether a set-up was cancelled here that was sent after the last message from the server. */
     boolean isSuspect() {
         return suspect;
     }
 
-    /** A set-up sent at {@code sentAt} is given up: a connection that has said nothing since may be dead. */
+    /** Marks the connection as suspect if nothing has arrived on it since the cancelled set-up was sent. */
     void onCancelled(double sentAtMs) {
         suspect |= lastReceivedMs < sentAtMs;
     }
 
-    /** Whether a message has been stuck half way for so long that its rest will not come. */
+    /** Returns whether the rest of an unfinished message has been missing for longer than the limit. */
     boolean isStuckMidMessage(double nowMs, double limitMs) {
         return decoder.isMidMessage() && nowMs - lastReceivedMs > limitMs;
     }
 
-    /** Sends a message with what else this turn brings; {@code sent} hears whether the system took it. */
+    /**
+     * Writes a message, to be flushed with all others of this event-loop iteration. {@code onWritten} is notified
+     * whether the operating system took it.
+     */
     void send(SipMessage message, Consumer<Boolean> onWritten) {
         var future = channel.write(SipEncoder.encode(channel.alloc(), message));
         if (onWritten != null) {
@@ -92,7 +95,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        // Part of a message counts as a word too: only when no more comes is its sender stuck.
+        // Part of a message counts as activity: a message is stuck only when nothing more of it arrives.
         recordActivity();
         ctx.fireChannelReadComplete();
     }
@@ -114,11 +117,11 @@
                 .addKeyValue("server", endpoint.id())
                 .addKeyValue("out", outstanding)
                 .addKeyValue("why", reason.toString())
-                .log("server's connection closed");
+                .log("server connection failed");
         if (!(reason instanceof IOException)
                 && !(reason instanceof SipFormatException)
                 && !(reason instanceof IllegalArgumentException)) {
-            LOG.atError().setCause(reason).log("a defect met by a server's message");
+            LOG.atError().setCause(reason).log("internal error while handling a message from a server");
         }
         close();
     }
--- a/src/main/java/damsonseam/node/ServerEndpoint.java
+++ b/src/main/java/damsonseam/node/ServerEndpoint.java
@@ -30,29 +30,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The way to one signalling server: its connections, the attempts out there and the calls that stand there. A
- * set-up takes a connection that carries no other, or the one with the fewest, and one more is made for the next
- * as long as all are taken: what a server spoils on a connection then spoils few calls.
+ * One signalling server: its connections, the attempts outstanding at it and the calls established at it. A set-up
+ * goes out on the connection with the fewest outstanding attempts; while every connection carries one, a further
+ * connection is opened for the next set-up. A failure of one connection then affects few calls.
+ *
+ * <p>Used on the event loop only. Bounds: {@link #MAX_CONNECTIONS} connections, {@link #MAX_QUEUED_REQUESTS} attempts
+ * and as many BYE requests waiting for one, {@link #MAX_CANCELLED_ATTEMPTS} cancelled attempts.
  */
 final class ServerEndpoint {
     private static final Logger LOG = LoggerFactory.getLogger(ServerEndpoint.class);
-    /** Connections to one server at the most: what it spoils on one of them then spoils an eighth of its calls. */
+    /** Limit of connections to one server: the failure of one then affects an eighth of its calls. */
     private static final int MAX_CONNECTIONS = 8;
 
     private static final double INITIAL_BACKOFF_MS = 50;
     private static final double MAX_BACKOFF_MS = 1_000;
-    /** Octets unsent beyond which a server is taken not to read. */
+    /** Bytes waiting to be sent beyond which a server is considered not to read. */
     private static final int MAX_UNSENT_BYTES = 256 << 10;
-    /** Set-ups that wait for a connection at the most. */
+    /** Limit of the attempts, and of the BYE requests, that wait for a connection. */
     private static final int MAX_QUEUED_REQUESTS = 1_000;
-    /** Attempts given up that are remembered, so that an answer which crossed the give-up ends its call. */
+    /** Cancelled attempts that are remembered, so that a 200 which crossed the CANCEL is followed by a BYE. */
     private static final int MAX_CANCELLED_ATTEMPTS = 1_000;
-    /** Silence of a server with calls standing, before it is tested, and before they count as cut: the platform
-     * wants the release of a call whose end nobody told within 8 s. */
+    /** Silence after which a server with established calls is probed. */
     private static final double PROBE_AFTER_MS = 2_000;
-
+    /**
+     * Silence after which the calls established at a server count as cut: the platform requires the release of a call
+     * within 8 s, even if nobody reported its end.
+     */
     private static final double DEAD_AFTER_MS = 5_000;
-    /** A message stops half way for longer than any packet takes to be sent again. */
+    /** How long a message may stay unfinished: longer than any TCP retransmission takes. */
     private static final double STUCK_AFTER_MS = 1_000;
 
     private static final String PROBE_URI = "sip:ping@net";
@@ -73,11 +78,11 @@
         }
     };
     private final Map<String, Probe> probes = new HashMap<>();
-    /** Releases that wait for a connection. */
+    /** BYE requests that wait for a connection. */
     private final ArrayDeque<SipMessage> queuedByes = new ArrayDeque<>();
 
     private boolean connecting;
-    /** Whether the connection that is being made began before another was lost. */
+    /** Whether another connection was lost while the present connection attempt was under way. */
     private boolean connectAgain;
 
     private boolean connectAttempted;
@@ -90,7 +95,7 @@
     private double lastProbedMs;
     private long probeNumber;
 
-    /** An attempt that has not ended: it waits for a connection, or has one, or has gone out on it. */
+    /** An attempt without an outcome: it waits for a connection, is assigned to one, or has been sent on it. */
     private static final class Attempt {
         final NodeCall nodeCall;
         final long recordId;
@@ -112,7 +117,7 @@
         }
     }
 
-    /** A test that is not answered yet; the module hears of those that it asked for. */
+    /** An OPTIONS request without a response yet; the module is notified of the outcome if it requested the probe. */
     private record Probe(double sentAtMs, boolean requested, ServerConnection connection) {}
 
     ServerEndpoint(ServerEndpoints.EndpointContext context, Router router, Pool.Server server) {
@@ -123,7 +128,7 @@
         connect();
     }
 
-    /** The attempts of one call are told apart by the number in CSeq. */
+    /** Returns the key of an attempt: the attempts of one call differ in the sequence number of CSeq. */
     private static String key(String callId, long index) {
         return callId + "/" + index;
     }
@@ -136,7 +141,7 @@
         return server.address();
     }
 
-    /** Descriptors of this link: its connections, and the one being made. */
+    /** Returns the number of file descriptors in use: the open connections and the one being opened. */
     int connectionCount() {
         return connections.size() + (connecting ? 1 : 0);
     }
@@ -145,7 +150,7 @@
         return attempts.size();
     }
 
-    /** Attempts by the counts of connections, and those that wait for one. */
+    /** Returns the number of attempts as counted by the connections, and those that wait for one. */
     int carriedAttempts() {
         return queuedAttempts.size()
                 + connections.stream().mapToInt(ServerConnection::outstanding).sum();
@@ -155,7 +160,7 @@
         return establishedCalls;
     }
 
-    /** Whether a first connection was made or failed. */
+    /** Returns whether the first connection attempt has succeeded or failed. */
     boolean hasTriedToConnect() {
         return connectAttempted;
     }
@@ -164,14 +169,14 @@
         return context.loop().now();
     }
 
-    // ---- The list ---------------------------------------------------------------------------------------
+    // ---- Server list ------------------------------------------------------------------------------------
 
-    /** The list names this server, perhaps with a later start or draining. */
+    /** Applies the entry of the server list for this server, perhaps with a later start or a new state. */
     void update(Pool.Server updated) {
         Pool.Server previous = server;
         listed = true;
         if (replaced && updated.address().equals(previous.address())) {
-            return; // The list still names it: its end has not been told yet.
+            return; // The list still names the replaced server: the update about its end is yet to come.
         }
         server = updated;
         replaced = false;
@@ -181,7 +186,7 @@
         }
         double startedAtMs = updated.startedAt().orElse(Double.NEGATIVE_INFINITY);
         if (startedAtMs > previous.startedAt().orElse(Double.NEGATIVE_INFINITY)) {
-            // What stood at the process before this one ended with it, told or not.
+            // The calls established at the previous process ended with it, reported or not.
             cutCalls(call -> call.establishedAtMs < startedAtMs);
         }
         if (!updated.address().equals(previous.address())) {
@@ -192,7 +197,7 @@
         }
     }
 
-    /** The list names it no more: what stands there runs on while its connections do. */
+    /** Handles that the list no longer names this server: its calls go on as long as its connections last. */
     void onDelisted() {
         listed = false;
         if (active) {
@@ -205,7 +210,7 @@
         }
     }
 
-    /** Another server has taken the address: the process that this link led to is no more. */
+    /** Handles that another server has taken the address: the process behind this endpoint has ended. */
     void onReplaced() {
         replaced = true;
         active = false;
@@ -214,7 +219,7 @@
         List.copyOf(connections).forEach(ServerConnection::close);
     }
 
-    /** Whether this link is of no more use. */
+    /** Returns whether this endpoint can be removed. */
     boolean isObsolete() {
         return !listed
                 && !active
@@ -232,7 +237,7 @@
 
     // ---- Connections ------------------------------------------------------------------------------------
 
-    /** Makes one more connection where there is room; returns whether one is being made. */
+    /** Opens one more connection if the limits allow it; returns whether one is being opened. */
     private boolean connect() {
         boolean hasCapacity = connections.isEmpty()
                 || connections.size() < MAX_CONNECTIONS && context.hasCapacity().getAsBoolean();
@@ -266,7 +271,7 @@
         return true;
     }
 
-    /** A connection stands: what waited for one goes out. */
+    /** Adds an established connection and sends what waited for one. */
     void onConnected(ServerConnection connection) {
         connecting = false;
         connectAttempted = true;
@@ -291,7 +296,7 @@
         failQueued();
         if (connections.isEmpty()) {
             if (cause instanceof ConnectException && !(cause instanceof io.netty.channel.ConnectTimeoutException)) {
-                // Refused: there is no process any more, and what stood there is cut.
+                // Connection refused: the process has ended, and its calls with it.
                 cutCalls(call -> true);
                 queuedByes.clear();
             }
@@ -300,7 +305,7 @@
         context.loop().kick();
     }
 
-    /** A connection is gone: what was out on it may have run. */
+    /** Removes a closed connection. Attempts sent on it are reset: the server may have handled them. */
     void onDisconnected(ServerConnection connection) {
         connections.remove(connection);
         if (connection.outstanding() > 0) {
@@ -308,9 +313,9 @@
                     .addKeyValue("server", server.id())
                     .addKeyValue("out", connection.outstanding())
                     .addKeyValue("others", connections.size())
-                    .log("server's connection lost with set-ups out");
+                    .log("server connection lost with outstanding attempts");
         }
-        // A release may have been on its way here: the server says it again on the next connection that is opened.
+        // A BYE from the server may have been lost with it: the server repeats it on the next connection opened.
         connectAgain = connecting;
         connect();
         router.clock(now());
@@ -339,7 +344,7 @@
         if (!active || backingOff) {
             return;
         }
-        // Fronts lose a server together: half to all of the pause keeps their connections apart.
+        // All front nodes lose a server at the same time: a delay of half to all of the backoff spreads them.
         double delayMs = backoffMs * (0.5 + 0.5 * context.random().nextDouble());
         backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
         backingOff = true;
@@ -351,7 +356,7 @@
         });
     }
 
-    /** The connection that carries the fewest attempts, or null; doubtful ones only where they are allowed. */
+    /** Returns the usable connection with the fewest outstanding attempts, or null if there is none. */
     private ServerConnection leastLoadedConnection(boolean includeSuspect) {
         ServerConnection best = null;
         for (ServerConnection connection : connections) {
@@ -366,7 +371,7 @@
 
     // ---- Attempts ---------------------------------------------------------------------------------------
 
-    /** Takes a set-up, which waits for a connection where none is free; false if it can't go out. */
+    /** Starts an attempt, which may wait for a connection first; returns false if it cannot be sent. */
     boolean setUp(NodeCall nodeCall, long recordId, int index, double deadlineMs) {
         Attempt attempt = new Attempt(nodeCall, recordId, index, deadlineMs);
         if (!active || !assignConnection(attempt)) {
@@ -393,7 +398,7 @@
         return true;
     }
 
-    /** The connection of an attempt went before the attempt did. */
+    /** Assigns another connection to an attempt whose connection closed before the set-up was sent. */
     private void reassign(Attempt attempt) {
         attempt.connection = null;
         if (!active || !assignConnection(attempt)) {
@@ -401,7 +406,10 @@
         }
     }
 
-    /** The set-up goes out when the sockets have been read once more: its caller may have left by then. */
+    /**
+     * Assigns a connection to an attempt. The set-up is sent after the sockets have been read once more, since its
+     * caller may have abandoned the call by then.
+     */
     private void assign(Attempt attempt, ServerConnection connection) {
         attempt.connection = connection;
         connection.adjustOutstanding(1);
@@ -426,7 +434,7 @@
         attempt.connection.send(invite, null);
     }
 
-    /** Gives an attempt up; the core hears when the system has taken the give-up. */
+    /** Cancels an attempt; the core is notified when the operating system has taken the CANCEL. */
     void cancel(String callId, int index) {
         Attempt attempt = attempts.remove(key(callId, index));
         if (attempt == null) {
@@ -460,14 +468,14 @@
         closeIfUnused();
     }
 
-    /** What waits for a connection never went out. */
+    /** Ends the attempts that wait for a connection as unreachable. */
     private void failQueued() {
         for (Attempt attempt = queuedAttempts.poll(); attempt != null; attempt = queuedAttempts.poll()) {
             endAttempt(attempt, Result.UNREACHABLE, Reason.NONE, Report.NONE);
         }
     }
 
-    /** The server takes nothing new any more: what has not gone out does not go. */
+    /** Ends all attempts that have not been sent, since the server takes no new set-ups any more. */
     private void failUnsent() {
         failQueued();
         for (Attempt attempt : List.copyOf(attempts.values())) {
@@ -477,12 +485,12 @@
         }
     }
 
-    /** Sends the release of a call that stands. */
+    /** Sends the BYE of an established call, or queues it while there is no connection. */
     void sendBye(String callId, String requestUri) {
         LOG.atDebug()
                 .addKeyValue("id", callId)
                 .addKeyValue("server", server.id())
-                .log("released by the node");
+                .log("BYE sent to server");
         SipMessage bye = SipMessage.request(SipMessage.BYE, requestUri, callId, 2)
                 .addHeader(SipHeaders.REASON, "Q.850;cause=16");
         ServerConnection connection = leastLoadedConnection(true);
@@ -503,7 +511,7 @@
         }
     }
 
-    // ---- What the server says ---------------------------------------------------------------------------
+    // ---- Messages from the server -----------------------------------------------------------------------
 
     void onMessage(ServerConnection connection, SipMessage message) {
         double now = now();
@@ -525,8 +533,8 @@
     }
 
     /**
-     * A process that has left its calls may go on to fail tests until it ends: that says nothing for them, and without
-     * another word it is as silent as one that is not there.
+     * Returns whether a message is a negative response to a probe. A process that has abandoned its calls may still
+     * send these until it ends, so they are no sign that its calls are alive and do not count as activity.
      */
     private static boolean isFailedProbe(SipMessage message) {
         return !message.isRequest()
@@ -577,19 +585,19 @@
         router.stands(now, attempt.recordId, attempt.index, report);
         call.answeringServer = null;
         if (call.establishedServer == null) {
-            // The core took it for too late: nobody waits for this call any more.
+            // The core took the answer for too late: nobody waits for this call any more.
             call.answer = null;
             sendBye(call.id, call.requestUri);
         }
     }
 
-    /** The answer to an attempt that was given up: if its call stands, it is released. Others are passed over. */
+    /** Acknowledges a response to a cancelled attempt, and releases the call on success. Other ones are ignored. */
     private void onLateResponse(ServerConnection connection, SipMessage message, String key) {
         String requestUri = cancelledAttempts.remove(key);
         if (requestUri != null) {
             connection.send(
                     SipMessage.request(SipMessage.ACK, requestUri, message.callId(), message.cseqNumber()), null);
-            // The call's next attempt may be out or stand here by now: a release names the call and would cut it.
+            // The call's next attempt may be outstanding or established here: a BYE names the call and would end it.
             if (message.status() < 300 && !hasAttemptOrCall(message.callId())) {
                 sendBye(message.callId(), requestUri);
             }
@@ -623,8 +631,9 @@
     }
 
     /**
-     * An attempt that broke may have run, and its release bears the same id as that of the call's next attempt at the
-     * same server: the one that stands, or is out, is told from it by its connection, while that is open.
+     * Handles the release of a call by its server. An attempt that broke may have been set up all the same, and its BYE
+     * has the same Call-ID as the call's next attempt at this server. The two are distinguished by their connection
+     * while the one of the established or outstanding attempt is open.
      */
     private void onBye(ServerConnection connection, SipMessage message, Report report) {
         NodeCall call = context.callRegistry().get(String.valueOf(message.callId()));
@@ -635,7 +644,7 @@
             LOG.atDebug()
                     .addKeyValue("id", String.valueOf(message.callId()))
                     .addKeyValue("server", server.id())
-                    .log("release of no call here");
+                    .log("BYE for an unknown call");
             if (InviteParser.isCallId(message.callId())) {
                 context.callRegistry()
                         .recordRelease(
@@ -664,9 +673,9 @@
         }
     }
 
-    // ---- Tests ------------------------------------------------------------------------------------------
+    // ---- Probes -----------------------------------------------------------------------------------------
 
-    /** A test that the module asks for. */
+    /** Sends a probe that the module requested. */
     void probe() {
         sendProbe(true);
     }
@@ -707,8 +716,8 @@
     }
 
     /**
-     * Looks after connections that are of no use any more, as half an answer stands on them or set-ups vanish
-     * there, and after calls that stand at a server which says nothing.
+     * Closes connections with an unfinished message or with set-ups that got no response, and checks whether a silent
+     * server with established calls is alive.
      */
     void sweep(double now) {
         for (ServerConnection connection : List.copyOf(connections)) {
@@ -726,7 +735,7 @@
             LOG.atWarn()
                     .addKeyValue("server", server.id())
                     .addKeyValue("calls", establishedCalls.size())
-                    .log("silent server: its calls count as cut");
+                    .log("server silent: releasing its calls");
             List.copyOf(connections).forEach(ServerConnection::close);
             cutCalls(call -> true);
         } else if (silentMs > PROBE_AFTER_MS && now - lastProbedMs > PROBE_AFTER_MS / 2) {
@@ -735,19 +744,19 @@
     }
 
     /**
-     * Finds out whether the process is there: of one that died, a connection on which nothing is sent may know nothing,
-     * so that each is asked.
+     * Probes every connection to find out whether the process is alive: a connection on which nothing is sent does not
+     * notice that the far end is gone.
      */
     private void probeAllConnections(double now) {
         lastProbedMs = now;
         if (context.probesAllowed()) {
             List.copyOf(connections).forEach(connection -> sendProbe(false, connection));
         } else {
-            connect(); // That it comes up shows that the machine is there, and its server speaks first.
+            connect(); // A new connection shows that the host is alive, and the server sends the first message on it.
         }
     }
 
-    /** Ends with the node: what stands at the server goes on without it. */
+    /** Closes all connections when the node stops; calls established at the server go on without it. */
     void close() {
         active = false;
         establishedCalls.clear();
--- a/src/main/java/damsonseam/node/ServerEndpoints.java
+++ b/src/main/java/damsonseam/node/ServerEndpoints.java
@@ -17,18 +17,24 @@
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 
-/** The ways to the signalling servers, one for each that the list has named and that is still of use. */
+/**
+ * The signalling servers: one endpoint for each server that the server list has named and that is still in use.
+ * Bounds the connections to all of them together. Used on the event loop only.
+ */
 final class ServerEndpoints implements Ports.Trunks {
     private static final Ports.NotSent UNREACHABLE = new Ports.NotSent(Result.UNREACHABLE, Reason.NONE);
     private static final double SWEEP_INTERVAL_MS = 250;
 
     /**
-     * What all links have in common.
+     * What all endpoints share.
      *
-     * @param connectTimeoutMs how long a connection may take, in milliseconds
-     * @param hasCapacity whether there may be one more connection beside the first to each server
-     * @param random spreads what fronts would else do in step
-     * @param probesAllowed whether the settings allow tests
+     * @param loop the node's event loop and timers
+     * @param callRegistry the node's calls
+     * @param reportFields the fields of a server's load report
+     * @param connectTimeoutMs limit of a connection attempt and of a probe, in milliseconds
+     * @param hasCapacity whether one more connection is allowed beside the first to each server
+     * @param random source of the jitter that keeps front nodes out of step
+     * @param probesAllowed whether the settings allow probes
      */
     record EndpointContext(
             Loop loop,
@@ -45,11 +51,11 @@
     private Router router;
 
     /**
-     * No links yet.
+     * Creates an empty set of endpoints.
      *
-     * @param maxConnections connections to all servers that are made at the most beside the first to each
-     * @param seed for random numbers
-     * @param probesAllowed whether the settings allow tests
+     * @param maxConnections limit of the connections to all servers together, beyond which each gets only one
+     * @param seed seed of the jitter
+     * @param probesAllowed whether the settings allow probes
      */
     ServerEndpoints(
             Loop loop,
@@ -86,7 +92,7 @@
         return endpoints.size();
     }
 
-    int attempts() {
+    int outstandingAttempts() {
         return endpoints.values().stream()
                 .mapToInt(ServerEndpoint::attemptCount)
                 .sum();
@@ -104,19 +110,19 @@
                 .sum();
     }
 
-    /** Descriptors kept for servers: the limit, and one for each server where they are more. */
+    /** Returns the file descriptors reserved for servers: the limit, or one per server if there are more servers. */
     int reservedDescriptors() {
         return Math.max(maxConnections, endpoints.size());
     }
 
-    /** Follows the list: new servers get a link, those gone from it lose theirs once their calls are over. */
+    /** Applies the server list: new servers get an endpoint, delisted ones lose theirs once their calls are over. */
     void applyServerList(Pool pool) {
         Set<String> listedIds = new HashSet<>();
         for (Pool.Server server : pool.servers()) {
             listedIds.add(server.id());
             ServerEndpoint endpoint = endpoints.get(server.id());
             if (endpoint == null) {
-                // Who listens at this address now is another process: what was there before has ended.
+                // Another process listens at this address now: the one before it has ended.
                 endpoints.values().stream()
                         .filter(other -> other.address().equals(server.address()))
                         .toList()
@@ -164,11 +170,11 @@
         if (endpoint != null) {
             endpoint.probe();
         } else {
-            context.loop().timers().set(now, at -> router.probed(at, server, true, false, 0, Report.NONE));
+            context.loop().timers().set(now, firedAt -> router.probed(firedAt, server, true, false, 0, Report.NONE));
         }
     }
 
-    /** Whether each running server of the list has been reached, or has been tried in vain. */
+    /** Returns whether a connection to each running server of the list has been established or has failed. */
     boolean isReady() {
         return router.pool().servers().stream()
                 .filter(server -> server.state() == State.RUNNING)
--- a/src/main/java/damsonseam/node/ServerListUpdate.java
+++ b/src/main/java/damsonseam/node/ServerListUpdate.java
@@ -7,26 +7,26 @@
 import java.util.OptionalDouble;
 
 /**
- * One numbered change of the list of signalling servers.
+ * One numbered update of the list of signalling servers.
  *
- * @param number counts from 1 in each run of a node
- * @param full whether it holds the whole list
- * @param entries the servers of the list, or those that changed
+ * @param number number of the update, from 1 in each run of a node
+ * @param full whether the update holds the whole list
+ * @param entries all servers of the list, or those that changed
  */
 record ServerListUpdate(long number, boolean full, List<Entry> entries) {
 
     /**
-     * One server.
+     * One server. The log writes the entries with these component names.
      *
-     * @param id its name
-     * @param address host and port where it listens
-     * @param cell what the destination of a call refers to
-     * @param state whether it takes work
-     * @param upSince Unix millisecond of a late start, else 0
+     * @param id id of the server
+     * @param address host and port on which it listens
+     * @param cell number of the cell that it serves, to which the destination of a call refers
+     * @param state whether it takes calls
+     * @param upSince Unix time of a late start in milliseconds, else 0
      */
     record Entry(String id, String address, int cell, State state, long upSince) {}
 
-    /** The entries on the node's own clock, which reads {@code now} at the Unix millisecond {@code unix}. */
+    /** Converts the entries to the node's clock, which shows {@code nowMs} at the Unix time {@code unixMs}. */
     List<Pool.Server> toServers(double nowMs, long unixMs) {
         List<Pool.Server> servers = new ArrayList<>(entries.size());
         for (Entry entry : entries) {
--- a/src/main/java/damsonseam/node/Shutdown.java
+++ b/src/main/java/damsonseam/node/Shutdown.java
@@ -9,22 +9,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The end of a node, step by step on its loop: all that still comes is taken for as long as the platform sends; then
- * what is owed is finished, and before the platform kills the process what is left is given up; then callers are told
- * that nothing more comes and are read to their end, as a close with unread octets would destroy an answer under way.
+ * The graceful shutdown of a node, step by step on its event loop. The node first takes new calls for as long as the
+ * platform sends any. Then it finishes the pending calls, and gives up what is left before the platform kills the
+ * process. Finally it shuts the output of the caller connections down and reads them to their end, as closing a
+ * connection with unread bytes resets it and destroys responses under way.
  */
 final class Shutdown {
     private static final Logger LOG = LoggerFactory.getLogger(Shutdown.class);
-    /** The platform sends for 0.6 s after SIGTERM; what comes later than 0.7 s is none of this node's. */
+    /** How long new calls are taken: the platform sends calls for 0.6 s after SIGTERM, none after 0.7 s. */
     private static final double ACCEPT_MS = 900;
-    /** SIGKILL comes no sooner than this and the longest deadline, of which no more than 3 s count. */
+    /** SIGKILL comes no sooner than after this plus the longest deadline, limited to {@link #MAX_DEADLINE_MS}. */
     private static final double MIN_KILL_DELAY_MS = 700;
-
+    /** Limit of the deadline that counts toward the time of SIGKILL. */
     private static final double MAX_DEADLINE_MS = 3_000;
-    /** What giving up, closing and ending take on a small part of a core, and the time that callers have to read. */
+    /** Time for giving up calls, closing and exiting on a fraction of a CPU core, and for callers to read. */
     private static final double RESERVE_MS = 450;
-
+    /** How long callers have to close their connections. */
     private static final double CLOSE_TIMEOUT_MS = 200;
+
     private static final double CHECK_INTERVAL_MS = 10;
 
     private final Loop loop;
@@ -57,7 +59,7 @@
                 Math.max(ACCEPT_MS, MIN_KILL_DELAY_MS + Math.min(MAX_DEADLINE_MS, longestDeadlineMs) - RESERVE_MS);
     }
 
-    /** Begins; {@code done} is complete when the process may end. */
+    /** Starts the shutdown; the returned future completes when the process may exit. */
     CompletableFuture<Void> start() {
         startedAtMs = loop.now();
         check(startedAtMs);
@@ -71,7 +73,7 @@
         } else if (closingAtMs > 0 || elapsedMs < ACCEPT_MS || elapsedMs < giveUpAfterMs && !isIdle(now)) {
             scheduleCheck(now);
         } else {
-            // What has come to the sockets in the meantime is taken first.
+            // What has arrived at the sockets in the meantime is handled first.
             loop.afterReads(() -> {
                 if (elapsedMs >= giveUpAfterMs || isIdle(loop.now())) {
                     beginClosing(loop.now());
@@ -85,7 +87,7 @@
         loop.timers().set(now + CHECK_INTERVAL_MS, this::check);
     }
 
-    /** Whether nothing is owed, and nothing that a caller has sent waits to be read. */
+    /** Returns whether no answer or release is pending and no caller's message waits to be read. */
     private boolean isIdle(double now) {
         return router.owed() == 0
                 && pendingReleases.awaitingConfirmation() == 0
@@ -101,7 +103,7 @@
                 .addKeyValue("callers", callerListener.connectionCount())
                 .log("closing");
         router.giveUpAll(now);
-        // Before the callers: a release that a server says from now on is for whoever it connects with next.
+        // Before the callers: a BYE from now on is for the front node with which the server connects next.
         serverEndpoints.close();
         callerListener.finish();
     }
--- a/src/main/java/damsonseam/sip/SipDecoder.java
+++ b/src/main/java/damsonseam/sip/SipDecoder.java
@@ -18,7 +18,7 @@
  * over header lines below. A full SIP stack would bring its own transactions and timers beside the core's.
  */
 public final class SipDecoder extends ByteToMessageDecoder {
-    /** Octets of one message at most. */
+    /** Size limit of a message. */
     public static final int MAX_MESSAGE_BYTES = 16 * 1024;
 
     private static final String SIP_VERSION = "SIP/2.0";
@@ -30,12 +30,12 @@
     private int scannedBytes;
     private boolean failed;
 
-    /** A decoder for one connection. */
+    /** Creates a decoder for one connection. */
     public SipDecoder() {
         setCumulator(MERGE_CUMULATOR);
     }
 
-    /** Whether part of a message has been read. */
+    /** Returns whether part of an unfinished message has been received. */
     public boolean isMidMessage() {
         return head != null || actualReadableBytes() > 0;
     }
@@ -48,7 +48,7 @@
         }
         try {
             while (decodeNext(in, out)) {
-                // One part of a message each time.
+                // Each call consumes one line or one body.
             }
         } catch (SipFormatException e) {
             failed = true;
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Reads the next line or body if it is there whole. */
+    /** Consumes the next line or body if it has arrived whole; returns whether it has. */
     private boolean decodeNext(ByteBuf in, List<Object> out) {
         if (scannedBytes < 0) {
             return decodeBody(in, out);
@@ -65,23 +65,23 @@
         int end = in.indexOf(in.readerIndex() + scannedBytes, in.writerIndex(), (byte) '\n');
         if (end < 0) {
             scannedBytes = in.readableBytes();
-            check(headBytes + scannedBytes < MAX_MESSAGE_BYTES, "a line or head without an end");
+            check(headBytes + scannedBytes < MAX_MESSAGE_BYTES, "head without an end");
             return false;
         }
         int length = end - in.readerIndex();
         headBytes += length + 1;
-        check(headBytes <= MAX_MESSAGE_BYTES, "a head of more than " + MAX_MESSAGE_BYTES + " octets");
-        check(length > 0 && in.getByte(end - 1) == '\r', "a line that does not end in CR LF");
+        check(headBytes <= MAX_MESSAGE_BYTES, "head of more than " + MAX_MESSAGE_BYTES + " bytes");
+        check(length > 0 && in.getByte(end - 1) == '\r', "line that does not end with CRLF");
         String line = in.toString(in.readerIndex(), length - 1, StandardCharsets.UTF_8);
         in.skipBytes(length + 1);
         scannedBytes = 0;
-        onLine(line);
+        handleLine(line);
         return true;
     }
 
-    private void onLine(String line) {
+    private void handleLine(String line) {
         if (head == null) {
-            // RFC 3261 7.5: empty lines before the first are passed over; they count toward the limit.
+            // RFC 3261 7.5: empty lines before the start line are ignored; they count toward the size limit.
             if (!line.isEmpty()) {
                 head = parseStartLine(line);
             }
@@ -95,23 +95,21 @@
     private static SipMessage parseStartLine(String line) {
         int firstSpace = line.indexOf(' ');
         int secondSpace = line.indexOf(' ', firstSpace + 1);
-        check(firstSpace > 0 && secondSpace > firstSpace, "a first line of less than three parts");
+        check(firstSpace > 0 && secondSpace > firstSpace, "start line of fewer than three parts");
         if (line.startsWith(SIP_VERSION)) {
-            String code = line.substring(firstSpace + 1, secondSpace);
+            String status = line.substring(firstSpace + 1, secondSpace);
             check(
                     firstSpace == SIP_VERSION.length()
-                            && code.length() == 3
-                            && code.chars().allMatch(SipDecoder::isDigit)
-                            && code.charAt(0) >= '1'
-                            && code.charAt(0) <= '6',
-                    "an answer without a status");
+                            && status.length() == 3
+                            && status.chars().allMatch(SipDecoder::isDigit)
+                            && status.charAt(0) >= '1'
+                            && status.charAt(0) <= '6',
+                    "response without a valid status code");
             return new SipMessage(
-                    "", "", Integer.parseInt(code), line.substring(secondSpace + 1), new SipHeaders(), new byte[0]);
+                    "", "", Integer.parseInt(status), line.substring(secondSpace + 1), new SipHeaders(), new byte[0]);
         }
         String method = line.substring(0, firstSpace);
-        check(
-                isToken(method) && line.substring(secondSpace + 1).equals(SIP_VERSION),
-                "a first line that is none of SIP 2.0");
+        check(isToken(method) && line.substring(secondSpace + 1).equals(SIP_VERSION), "start line that is not SIP/2.0");
         return new SipMessage(
                 method, line.substring(firstSpace + 1, secondSpace), 0, "", new SipHeaders(), new byte[0]);
     }
@@ -119,29 +117,29 @@
     private void parseHeader(String line) {
         SipHeaders headers = head.headers();
         if (line.charAt(0) == ' ' || line.charAt(0) == '\t') {
-            check(headers.size() > 0, "a continued line that continues nothing");
+            check(headers.size() > 0, "continuation line without a header");
             headers.fold(line.strip());
             return;
         }
         int colon = line.indexOf(':');
-        check(colon > 0, "a header without a colon");
+        check(colon > 0, "header without a colon");
         String name = line.substring(0, colon).stripTrailing();
-        check(isToken(name), "a header without a name");
+        check(isToken(name), "invalid header name");
         check(headers.size() < SipHeaders.MAX_HEADERS, "more than " + SipHeaders.MAX_HEADERS + " headers");
         String value = line.substring(colon + 1).strip();
-        if (SipHeaders.longForm(name).equalsIgnoreCase(SipHeaders.CONTENT_LENGTH)) {
+        if (SipHeaders.toLongForm(name).equalsIgnoreCase(SipHeaders.CONTENT_LENGTH)) {
             parseContentLength(value);
         }
-        headers.add(SipHeaders.longForm(name), value);
+        headers.add(SipHeaders.toLongForm(name), value);
     }
 
-    /** Checked as it is read, and again with the whole head: a length that can't be is not waited for. */
+    /** Parses Content-Length, both when its line arrives and with the whole head, to reject an invalid one early. */
     private static int parseContentLength(String value) {
         check(
                 !value.isEmpty() && value.length() <= 9 && value.chars().allMatch(SipDecoder::isDigit),
-                "a Content-Length that is no length");
+                "Content-Length that is not a number");
         int length = Integer.parseInt(value);
-        check(length <= MAX_MESSAGE_BYTES, "a body of more than " + MAX_MESSAGE_BYTES + " octets");
+        check(length <= MAX_MESSAGE_BYTES, "body of more than " + MAX_MESSAGE_BYTES + " bytes");
         return length;
     }
 
@@ -153,9 +151,9 @@
                 !headers.isRepeated(SipHeaders.CONTENT_LENGTH)
                         && !headers.isRepeated(SipHeaders.CALL_ID)
                         && !headers.isRepeated(SipHeaders.CSEQ),
-                "a header twice that stands once");
+                "duplicate Content-Length, Call-ID or CSeq");
         bodyBytes = parseContentLength(length);
-        check(headBytes + bodyBytes <= MAX_MESSAGE_BYTES, "a message of more than " + MAX_MESSAGE_BYTES + " octets");
+        check(headBytes + bodyBytes <= MAX_MESSAGE_BYTES, "message of more than " + MAX_MESSAGE_BYTES + " bytes");
         scannedBytes = -1;
     }
 
@@ -177,7 +175,7 @@
         return c >= '0' && c <= '9';
     }
 
-    /** A token of RFC 3261 25.1. */
+    /** Returns whether a text is a token (RFC 3261 25.1) of reasonable length. */
     private static boolean isToken(String text) {
         if (text.isEmpty() || text.length() > MAX_TOKEN_LENGTH) {
             return false;
@@ -193,7 +191,7 @@
 
     private static void check(boolean valid, String problem) {
         if (!valid) {
-            throw new SipFormatException("found " + problem);
+            throw new SipFormatException("malformed SIP message: " + problem);
         }
     }
 }
--- a/src/main/java/damsonseam/sip/SipEncoder.java
+++ b/src/main/java/damsonseam/sip/SipEncoder.java
@@ -4,13 +4,13 @@
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.ByteBufUtil;
 
-/** Writes messages; Content-Length is always the body's own. */
+/** Encodes SIP messages. Content-Length always states the actual size of the body. */
 public final class SipEncoder {
     private static final int INITIAL_CAPACITY_BYTES = 512;
 
     private SipEncoder() {}
 
-    /** The octets of a message. */
+    /** Returns the bytes of a message in a buffer that the caller releases. */
     public static ByteBuf encode(ByteBufAllocator allocator, SipMessage message) {
         ByteBuf out = allocator.buffer(INITIAL_CAPACITY_BYTES + message.body().length);
         StringBuilder text = new StringBuilder(INITIAL_CAPACITY_BYTES);
--- a/src/main/java/damsonseam/sip/SipFormatException.java
+++ b/src/main/java/damsonseam/sip/SipFormatException.java
@@ -1,11 +1,11 @@
 package damsonseam.sip;
 
-/** Octets that are no SIP message, or one beyond the limits: where the next one starts is not known any more. */
+/** Thrown for malformed or oversized SIP messages, after which the start of the next message is unknown. */
 public final class SipFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     SipFormatException(String message) {
-        // No stack trace: senders of noise must not cost more than those of messages.
+        // No stack trace: malformed messages must not cost more CPU time than valid ones.
         super(message, null, false, false);
     }
 }
--- a/src/main/java/damsonseam/sip/SipHeaders.java
+++ b/src/main/java/damsonseam/sip/SipHeaders.java
@@ -5,40 +5,40 @@
 import java.util.Locale;
 
 /**
- * The headers of one message in their order. Names are compared without regard to case, and the compact forms
- * of RFC 3261 7.3.3 stand for the long ones.
+ * The headers of a message in their order. Names are compared case-insensitively. The decoder replaces the compact
+ * forms of RFC 3261 7.3.3 by the long ones. Not thread-safe.
  */
 public final class SipHeaders {
-    /** Which transaction's dialog a message belongs to; here the id of the call. */
+    /** The id of the dialog that a message belongs to; here the id of the call. */
     public static final String CALL_ID = "Call-ID";
-    /** Number and method of the request that a message is or answers. */
+    /** Sequence number and method of a request; responses repeat those of their request. */
     public static final String CSEQ = "CSeq";
-    /** Octets of the body. */
+    /** Size of the body in bytes. */
     public static final String CONTENT_LENGTH = "Content-Length";
-    /** The way that answers take back. */
+    /** The path that responses take. */
     public static final String VIA = "Via";
-    /** Why a call is released (RFC 3326). */
+    /** The reason why a call is released (RFC 3326). */
     public static final String REASON = "Reason";
-    /** Headers of one message at most. */
+    /** Limit of the headers of one message. */
     static final int MAX_HEADERS = 64;
 
     private final List<String> names = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
 
-    /** Adds one header; returns this. */
+    /** Adds a header and returns this. */
     public SipHeaders add(String name, String value) {
         names.add(name);
         values.add(value);
         return this;
     }
 
-    /** The first value under a name, or null. */
+    /** Returns the first value of a header, or null. */
     public String get(String name) {
         int index = indexOf(name, 0);
         return index < 0 ? null : values.get(index);
     }
 
-    /** Whether a name stands more than once. */
+    /** Returns whether a header occurs more than once. */
     boolean isRepeated(String name) {
         int first = indexOf(name, 0);
         return first >= 0 && indexOf(name, first + 1) >= 0;
@@ -65,14 +65,14 @@
         return values.get(index);
     }
 
-    /** Continues the last header on the next line (RFC 3261 7.3.1). */
+    /** Appends a continuation line to the value of the last header (RFC 3261 7.3.1). */
     void fold(String continuation) {
         int last = values.size() - 1;
         values.set(last, (values.get(last) + ' ' + continuation).strip());
     }
 
-    /** The long form of a compact name; any other name as it is. */
-    static String longForm(String name) {
+    /** Returns the long form of a compact header name, and any other name unchanged. */
+    static String toLongForm(String name) {
         if (name.length() != 1) {
             return name;
         }
--- a/src/main/java/damsonseam/sip/SipMessage.java
+++ b/src/main/java/damsonseam/sip/SipMessage.java
@@ -1,42 +1,42 @@
 package damsonseam.sip;
 
 /**
- * One message, request or answer. What every message must have (RFC 3261 8.1.1, 8.2.6) has been checked for
- * form by the decoder, not for sense.
+ * A SIP request or response. The decoder has checked the mandatory parts (RFC 3261 8.1.1, 8.2.6) for their form, not
+ * for their meaning.
  *
- * @param method of a request, else the empty string
- * @param requestUri the address in a request's first line, else the empty string
- * @param status of an answer, 100 to 699; 0 marks a request
- * @param reasonPhrase the phrase of an answer's first line
- * @param headers all but Content-Length, which the encoder writes
- * @param body the octets after the headers, never null
+ * @param method method of a request, else the empty string
+ * @param requestUri Request-URI of a request, else the empty string
+ * @param status status code of a response, 100 to 699; 0 marks a request
+ * @param reasonPhrase reason phrase of a response, else the empty string
+ * @param headers header fields; the encoder replaces Content-Length by the size of the body
+ * @param body bytes after the headers, never null
  */
 public record SipMessage(
         String method, String requestUri, int status, String reasonPhrase, SipHeaders headers, byte[] body) {
-    /** A set-up. */
+    /** Sets a call up. */
     public static final String INVITE = "INVITE";
-    /** The set-up's final answer was heard. */
+    /** Acknowledges the final response to an INVITE. */
     public static final String ACK = "ACK";
-    /** A set-up is given up. */
+    /** Cancels a set-up. */
     public static final String CANCEL = "CANCEL";
-    /** Release of a call that stands. */
+    /** Releases an established call. */
     public static final String BYE = "BYE";
-    /** A test. */
+    /** Probes the peer. */
     public static final String OPTIONS = "OPTIONS";
-    /** News of a subscription; here the state of a group of lines. */
+    /** Notifies a subscriber; here of the state of a trunk group. */
     public static final String NOTIFY = "NOTIFY";
-    /** The call stands. */
+    /** The status code of success; for an INVITE it means that the call is established. */
     public static final int OK = 200;
 
     private static final byte[] EMPTY_BODY = {};
     private static final int MIN_FINAL_STATUS = 200;
 
-    /** A request without a body. */
+    /** Returns a request without a body. */
     public static SipMessage request(String method, String requestUri, String callId, long sequenceNumber) {
         return request(method, requestUri, callId, sequenceNumber, EMPTY_BODY);
     }
 
-    /** A request with its body. */
+    /** Returns a request with a body. */
     public static SipMessage request(
             String method, String requestUri, String callId, long sequenceNumber, byte[] body) {
         return new SipMessage(
@@ -51,12 +51,12 @@
                 body);
     }
 
-    /** An answer without a body. */
+    /** Returns a response without a body. */
     public static SipMessage response(int status, String reasonPhrase, String callId, String cseq) {
         return response(status, reasonPhrase, callId, cseq, EMPTY_BODY);
     }
 
-    /** An answer to the request with this id and CSeq; either may be null where the request had none. */
+    /** Returns the response to the request with this Call-ID and CSeq; either is null if the request has none. */
     public static SipMessage response(int status, String reasonPhrase, String callId, String cseq, byte[] body) {
         SipHeaders headers = new SipHeaders().add(SipHeaders.VIA, "SIP/2.0/TCP front");
         if (callId != null) {
@@ -68,40 +68,40 @@
         return new SipMessage("", "", status, reasonPhrase, headers, body);
     }
 
-    /** Adds a header; returns this. */
+    /** Adds a header and returns this. */
     public SipMessage addHeader(String name, String value) {
         headers.add(name, value);
         return this;
     }
 
-    /** Whether this is a request. */
+    /** Returns whether this is a request. */
     public boolean isRequest() {
         return status == 0;
     }
 
-    /** Whether this is an answer that ends its transaction. */
+    /** Returns whether this is a final response, which ends its transaction. */
     public boolean isFinalResponse() {
         return status >= MIN_FINAL_STATUS;
     }
 
-    /** The id of the call, or null. */
+    /** Returns the Call-ID, or null. */
     public String callId() {
         return headers.get(SipHeaders.CALL_ID);
     }
 
-    /** The CSeq header, or null. */
+    /** Returns the CSeq header, or null. */
     public String cseq() {
         return headers.get(SipHeaders.CSEQ);
     }
 
-    /** The method in CSeq, or the empty string. */
+    /** Returns the method in CSeq, or the empty string. */
     public String cseqMethod() {
         String cseq = cseq();
         int space = cseq == null ? -1 : cseq.lastIndexOf(' ');
         return space < 0 ? "" : cseq.substring(space + 1);
     }
 
-    /** The number in CSeq, or -1 where it has none that can be read. */
+    /** Returns the sequence number in CSeq, or -1 if it has none. */
     public long cseqNumber() {
         String cseq = cseq();
         int space = cseq == null ? -1 : cseq.indexOf(' ');
--- a/src/main/java/damsonseam/sip/package-info.java
+++ b/src/main/java/damsonseam/sip/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Messages of SIP (RFC 3261) on Netty buffers: header names, a bounded incremental decoder and the encoder. No
- * I/O, no transactions and no decisions: what a message means is up to who holds the connection.
+ * SIP messages (RFC 3261) on Netty buffers: message and headers, a bounded incremental decoder and an encoder. There is
+ * no I/O and no transaction state here; the meaning of a message is up to the owner of the connection.
  */
 package damsonseam.sip;
