--- a/src/test/java/damsonseam/node/ShutdownTest.java
+++ b/src/test/java/damsonseam/node/ShutdownTest.java
@@ -4,115 +4,115 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonseam.node.NodeRig.Standing;
+import damsonseam.node.NodeFixture.EstablishedCall;
 import damsonseam.sip.SipMessage;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The planned end of a node, crossed by what callers and servers still say. */
+/** Guards against lost answers and releases when a node shuts down while callers and servers still send messages. */
 @Timeout(60)
 class ShutdownTest {
-    /** The platform kills the process no sooner, for the deadlines of the rig's classes, in milliseconds. */
-    private static final int KILLED_AFTER = 3_700;
+    /** Earliest time of SIGKILL after SIGTERM for the deadlines of the fixture's classes. */
+    private static final int KILLED_AFTER_MS = 3_700;
 
     @Test
-    void whatIsOwedIsAnsweredBeforeThePlatformKills() throws Exception {
-        try (NodeRig rig = new NodeRig(1)) {
-            SipSocket server = rig.accept(0);
-            SipSocket caller = rig.caller();
-            SipMessage out = NodeRig.invite(NodeRig.id(1), "dest:0;width:1;via:-1", "9000");
-            caller.send(out);
-            assertNotNull(server.next("INVITE"));
-            // More than one set-up can test a silent server: the others are held.
+    void pendingCallsAreAnsweredBeforePlatformKills() throws Exception {
+        try (NodeFixture fixture = new NodeFixture(1)) {
+            SipSocket server = fixture.acceptServerConnection(0);
+            SipSocket caller = fixture.connectCaller();
+            SipMessage first = NodeFixture.invite(NodeFixture.callId(1), "dest:0;width:1;via:-1", "9000");
+            caller.send(first);
+            assertNotNull(server.receive("INVITE"));
+            // Only one set-up may try a silent server: the others are held.
             for (int i = 2; i < 8; i++) {
-                caller.send(NodeRig.invite(NodeRig.id(i), "dest:0;width:1;via:-1", "9000"));
+                caller.send(NodeFixture.invite(NodeFixture.callId(i), "dest:0;width:1;via:-1", "9000"));
             }
-            long from = System.nanoTime();
-            Thread ending = rig.drain();
-            assertTrue(caller.endsInOrder(), "a reset destroys what was answered");
-            ending.join();
-            long took = (System.nanoTime() - from) / 1_000_000;
-            assertTrue(took < KILLED_AFTER, "ended after " + took + " ms");
+            long startedAt = System.nanoTime();
+            Thread drainThread = fixture.startDrain();
+            assertTrue(caller.endsWithoutReset(), "a reset destroys responses under way");
+            drainThread.join();
+            long elapsedMs = (System.nanoTime() - startedAt) / 1_000_000;
+            assertTrue(elapsedMs < KILLED_AFTER_MS, "stopped after " + elapsedMs + " ms");
             for (int i = 1; i < 8; i++) {
-                SipMessage answer = caller.had();
-                assertNotNull(answer, "call without an answer");
-                assertTrue(answer.status() >= 400, "status " + answer.status());
+                SipMessage response = caller.nextBuffered();
+                assertNotNull(response, "call without a final response");
+                assertTrue(response.status() >= 400, "status " + response.status());
             }
         }
     }
 
     @Test
-    void aCallerThatStillTalksIsReadToItsEndAndNotReset() throws Exception {
-        try (NodeRig rig = new NodeRig(1)) {
-            SipSocket server = rig.accept(0);
-            SipSocket caller = rig.caller();
-            SipMessage invite = rig.invite();
+    void callerStillSendingIsNotReset() throws Exception {
+        try (NodeFixture fixture = new NodeFixture(1)) {
+            SipSocket server = fixture.acceptServerConnection(0);
+            SipSocket caller = fixture.connectCaller();
+            SipMessage invite = fixture.invite();
             caller.send(invite);
-            Thread ending = rig.drain();
-            server.send(NodeRig.stands(server.next("INVITE")));
-            assertTrue(caller.endsInOrder());
-            assertEquals(200, caller.had().status());
-            // What a caller says behind the node's last word would be met by a reset, which destroys what is unread.
+            Thread drainThread = fixture.startDrain();
+            server.send(NodeFixture.okResponse(server.receive("INVITE")));
+            assertTrue(caller.endsWithoutReset());
+            assertEquals(200, caller.nextBuffered().status());
+            // Data that arrives after the node has closed would cause a reset, which destroys unread responses.
             SipMessage ack = SipMessage.request(SipMessage.ACK, invite.requestUri(), invite.callId(), 1);
             long until = System.nanoTime() + 60_000_000;
             while (System.nanoTime() < until) {
                 caller.send(ack);
             }
             caller.close();
-            ending.join();
+            drainThread.join();
         }
     }
 
     @Test
-    void aSetUpThatWaitsToBeAcceptedInTheLastMomentIsAnswered() throws Exception {
-        try (NodeRig rig = new NodeRig(1)) {
-            SipSocket server = rig.accept(0);
-            rig.caller();
-            Thread ending = rig.drain();
+    void setUpWaitingInBacklogAtTheEndIsAnswered() throws Exception {
+        try (NodeFixture fixture = new NodeFixture(1)) {
+            SipSocket server = fixture.acceptServerConnection(0);
+            fixture.connectCaller();
+            Thread drainThread = fixture.startDrain();
             Thread.sleep(500);
             SipSocket late;
-            SipMessage invite = rig.invite();
-            try (AutoCloseable paused = rig.pause()) {
+            SipMessage invite = fixture.invite();
+            try (AutoCloseable paused = fixture.pauseEventLoop()) {
                 assertNotNull(paused);
-                late = rig.keep(SipSocket.to(rig.node.address()));
+                late = fixture.closeLater(SipSocket.connect(fixture.node.address()));
                 late.send(invite);
-                // The loop stands until the node could end: what the sockets hold comes first all the same.
+                // The loop is paused until the node could stop: what the sockets hold is handled first anyway.
                 Thread.sleep(600);
             }
-            server.send(NodeRig.stands(server.next("INVITE")));
-            assertEquals(200, late.next().status());
-            ending.join();
+            server.send(NodeFixture.okResponse(server.receive("INVITE")));
+            assertEquals(200, late.receive().status());
+            drainThread.join();
         }
     }
 
     @Test
-    void aCallThatIsOverInTheLastSecondIsReleased() throws Exception {
-        try (NodeRig rig = new NodeRig(1)) {
-            SipSocket server = rig.accept(0);
-            Standing s = rig.standing(server);
-            Thread ending = rig.drain();
+    void callReleasedDuringShutdownIsReleasedToCaller() throws Exception {
+        try (NodeFixture fixture = new NodeFixture(1)) {
+            SipSocket server = fixture.acceptServerConnection(0);
+            EstablishedCall call = fixture.establishCall(server);
+            Thread drainThread = fixture.startDrain();
             Thread.sleep(500);
-            try (AutoCloseable paused = rig.pause()) {
+            try (AutoCloseable paused = fixture.pauseEventLoop()) {
                 assertNotNull(paused);
-                server.send(NodeRig.bye(s.invite().callId(), 16));
+                server.send(NodeFixture.bye(call.invite().callId(), 16));
                 Thread.sleep(600);
             }
-            assertEquals(s.invite().callId(), s.caller().next("BYE").callId());
-            assertTrue(s.caller().endsInOrder());
-            ending.join();
+            assertEquals(call.invite().callId(), call.caller().receive("BYE").callId());
+            assertTrue(call.caller().endsWithoutReset());
+            drainThread.join();
         }
     }
 
     @Test
-    void aNewConfigurationDuringAndAfterTheEndHarmsNothing() throws Exception {
-        try (NodeRig rig = new NodeRig(1)) {
-            rig.accept(0);
-            rig.caller();
-            Thread ending = rig.drain();
-            NodeConfig same = rig.configuration(rig.coordinator.getLocalPort());
-            rig.node.reload(same);
-            ending.join();
-            rig.node.reload(same);
+    void reloadDuringAndAfterShutdownIsHarmless() throws Exception {
+        try (NodeFixture fixture = new NodeFixture(1)) {
+            fixture.acceptServerConnection(0);
+            fixture.connectCaller();
+            Thread drainThread = fixture.startDrain();
+            NodeConfig same = fixture.parsedConfig(fixture.coordinatorSocket.getLocalPort());
+            fixture.node.reload(same);
+            drainThread.join();
+            fixture.node.reload(same);
         }
     }
 }
--- a/src/test/java/damsonseam/node/SipSocket.java
+++ b/src/test/java/damsonseam/node/SipSocket.java
@@ -14,9 +14,9 @@
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 
-/** One end of a SIP connection for tests, with blocking reads. */
+/** A SIP connection for tests, with blocking reads. */
 final class SipSocket implements AutoCloseable {
-    private static final int PATIENCE_MS = 8_000;
+    private static final int READ_TIMEOUT_MS = 8_000;
 
     private final Socket socket;
     private final EmbeddedChannel decoder = new EmbeddedChannel(new SipDecoder());
@@ -26,110 +26,110 @@
         socket.setTcpNoDelay(true);
     }
 
-    static SipSocket to(InetSocketAddress address) throws IOException {
+    static SipSocket connect(InetSocketAddress address) throws IOException {
         return new SipSocket(new Socket(address.getAddress(), address.getPort()));
     }
 
     void send(SipMessage message) throws IOException {
-        ByteBuf octets = SipEncoder.encode(UnpooledByteBufAllocator.DEFAULT, message);
-        send(ByteBufUtil.getBytes(octets));
-        octets.release();
+        ByteBuf bytes = SipEncoder.encode(UnpooledByteBufAllocator.DEFAULT, message);
+        send(ByteBufUtil.getBytes(bytes));
+        bytes.release();
     }
 
     void send(String text) throws IOException {
         send(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    void send(byte[] octets) throws IOException {
-        socket.getOutputStream().write(octets);
+    void send(byte[] bytes) throws IOException {
+        socket.getOutputStream().write(bytes);
         socket.getOutputStream().flush();
     }
 
-    /** The next message; null when the far end has closed. */
-    SipMessage next() throws IOException {
-        SipMessage message = next(PATIENCE_MS);
+    /** Returns the next message, or null if the far end has closed. */
+    SipMessage receive() throws IOException {
+        SipMessage message = receive(READ_TIMEOUT_MS);
         return message;
     }
 
-    /** The next message; null when the far end has closed, an error where none comes in time. */
-    SipMessage next(int millis) throws IOException {
-        byte[] part = new byte[4_096];
+    /** Returns the next message, or null if the far end has closed; throws if none arrives in time. */
+    SipMessage receive(int timeoutMs) throws IOException {
+        byte[] buffer = new byte[4_096];
         while (true) {
             SipMessage message = decoder.readInbound();
             if (message != null) {
                 return message;
             }
-            socket.setSoTimeout(millis);
-            int n;
+            socket.setSoTimeout(timeoutMs);
+            int count;
             try {
-                n = socket.getInputStream().read(part);
+                count = socket.getInputStream().read(buffer);
             } catch (SocketTimeoutException e) {
                 throw e;
             } catch (IOException e) {
                 return null;
             }
-            if (n < 0) {
+            if (count < 0) {
                 return null;
             }
-            decoder.writeInbound(Unpooled.copiedBuffer(part, 0, n));
+            decoder.writeInbound(Unpooled.copiedBuffer(buffer, 0, count));
         }
     }
 
-    /** The next message of this method or, with {@code method} empty, the next answer; others are passed over. */
-    SipMessage next(String method) throws IOException {
-        for (SipMessage m = next(); m != null; m = next()) {
-            if (m.method().equals(method)) {
-                return m;
+    /** Returns the next request with this method, or the next response if it is empty; skips other messages. */
+    SipMessage receive(String method) throws IOException {
+        for (SipMessage message = receive(); message != null; message = receive()) {
+            if (message.method().equals(method)) {
+                return message;
             }
         }
         return null;
     }
 
-    /** The next message, which must be this method's and come within a second. */
-    SipMessage soon(String method) throws IOException {
-        SipMessage message = next(1_000);
+    /** Returns the next message, which must arrive within a second and have this method. */
+    SipMessage receiveWithinOneSecond(String method) throws IOException {
+        SipMessage message = receive(1_000);
         if (message == null || !message.method().equals(method)) {
-            throw new AssertionError("no " + method + " but " + message);
+            throw new AssertionError("expected " + method + " but got " + message);
         }
         return message;
     }
 
-    /** Whether the far end says nothing for so long. */
-    boolean quiet(int millis) throws IOException {
+    /** Returns whether no message arrives for so long. */
+    boolean isQuiet(int durationMs) throws IOException {
         try {
-            next(millis);
+            receive(durationMs);
             return false;
         } catch (SocketTimeoutException e) {
             return true;
         }
     }
 
-    /** Resets the connection, as a process that dies does. */
+    /** Resets the connection, as happens when a process dies. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
     }
 
-    /** Says that nothing more comes, and reads on. */
+    /** Shuts the output down and keeps the input open. */
     void halfClose() throws IOException {
         socket.shutdownOutput();
     }
 
-    /** Whether octets wait to be read. */
+    /** Returns whether there are unread bytes. */
     boolean hasUnread() throws IOException {
         return socket.getInputStream().available() > 0;
     }
 
-    /** Reads to the end; whether that was an end in order and no reset. */
-    boolean endsInOrder() throws IOException {
-        socket.setSoTimeout(PATIENCE_MS);
-        byte[] part = new byte[4_096];
+    /** Reads to the end of the stream; returns whether the connection ended without a reset. */
+    boolean endsWithoutReset() throws IOException {
+        socket.setSoTimeout(READ_TIMEOUT_MS);
+        byte[] buffer = new byte[4_096];
         try {
-            int n = 0;
-            while (n >= 0) {
-                n = socket.getInputStream().read(part);
-                if (n > 0) {
-                    decoder.writeInbound(Unpooled.copiedBuffer(part, 0, n));
+            int count = 0;
+            while (count >= 0) {
+                count = socket.getInputStream().read(buffer);
+                if (count > 0) {
+                    decoder.writeInbound(Unpooled.copiedBuffer(buffer, 0, count));
                 }
             }
             return true;
@@ -138,8 +138,8 @@
         }
     }
 
-    /** The next of the messages read already, or null. */
-    SipMessage had() {
+    /** Returns the next message that has been read already, or null. */
+    SipMessage nextBuffered() {
         return decoder.readInbound();
     }
 
--- a/src/test/java/damsonseam/sip/SipDecoderTest.java
+++ b/src/test/java/damsonseam/sip/SipDecoderTest.java
@@ -24,29 +24,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Guards against messages that are split, accepted or rejected wrongly, and against unbounded buffering. */
 class SipDecoderTest {
     private static final String INVITE = "INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\n"
             + "Call-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\nX-Cos: voice\r\nContent-Length: 9\r\n\r\nabc\r\n\r\nde";
-    private static final String ANSWER =
+    private static final String RESPONSE =
             "SIP/2.0 200 OK\r\ni: 9b1f03aa5c7e2d41\r\nCSEQ : 1 INVITE\r\n" + "Subject: one\r\n  two\r\nl: 0\r\n\r\n";
 
-    private static ByteBuf octets(String text) {
+    private static ByteBuf bytesOf(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
     }
 
-    private static List<SipMessage> drain(EmbeddedChannel channel) {
+    private static List<SipMessage> readAll(EmbeddedChannel channel) {
         List<SipMessage> read = new ArrayList<>();
-        for (SipMessage m = channel.readInbound(); m != null; m = channel.readInbound()) {
-            read.add(m);
+        for (SipMessage message = channel.readInbound(); message != null; message = channel.readInbound()) {
+            read.add(message);
         }
         return read;
     }
 
     @Test
-    void readsARequestAndAnAnswer() {
+    void decodesRequestAndResponse() {
         EmbeddedChannel channel = new EmbeddedChannel(new SipDecoder());
-        channel.writeInbound(octets(INVITE + "\r\n" + ANSWER));
-        List<SipMessage> read = drain(channel);
+        channel.writeInbound(bytesOf(INVITE + "\r\n" + RESPONSE));
+        List<SipMessage> read = readAll(channel);
         assertEquals(2, read.size());
         SipMessage invite = read.get(0);
         assertTrue(invite.isRequest());
@@ -55,26 +56,26 @@
         assertEquals(1, invite.cseqNumber());
         assertEquals("INVITE", invite.cseqMethod());
         assertArrayEquals("abc\r\n\r\nde".getBytes(StandardCharsets.UTF_8), invite.body());
-        SipMessage answer = read.get(1);
-        assertEquals(200, answer.status());
-        assertEquals("9b1f03aa5c7e2d41", answer.callId());
-        assertEquals("one two", answer.headers().get("subject"));
-        assertNull(answer.headers().get("X-Cos"));
+        SipMessage response = read.get(1);
+        assertEquals(200, response.status());
+        assertEquals("9b1f03aa5c7e2d41", response.callId());
+        assertEquals("one two", response.headers().get("subject"));
+        assertNull(response.headers().get("X-Cos"));
         assertFalse(channel.finish());
     }
 
     @Property(tries = 200)
-    void anySplitGivesTheSameMessages(@ForAll @Size(max = 12) List<@IntRange(min = 1, max = 90) Integer> cuts) {
+    void anyFragmentationYieldsSameMessages(@ForAll @Size(max = 12) List<@IntRange(min = 1, max = 90) Integer> cuts) {
         EmbeddedChannel channel = new EmbeddedChannel(new SipDecoder());
-        String all = INVITE + ANSWER + INVITE + "\r\n\r\n" + ANSWER;
+        String all = INVITE + RESPONSE + INVITE + "\r\n\r\n" + RESPONSE;
         int at = 0;
         for (int cut : cuts) {
             int end = Math.min(all.length(), at + cut);
-            channel.writeInbound(octets(all.substring(at, end)));
+            channel.writeInbound(bytesOf(all.substring(at, end)));
             at = end;
         }
-        channel.writeInbound(octets(all.substring(at)));
-        List<SipMessage> read = drain(channel);
+        channel.writeInbound(bytesOf(all.substring(at)));
+        List<SipMessage> read = readAll(channel);
         assertEquals(4, read.size());
         for (int i = 0; i < 4; i++) {
             assertEquals(i % 2 == 0, read.get(i).isRequest());
@@ -104,46 +105,46 @@
                 "INVITE sip:a@net SIP/2.0\r\nCall-ID: 1\r\ni: 2\r\nContent-Length: 0\r\n\r\n",
                 "INVITE sip:a@net SIP/2.0\r\nContent-Length: 16384\r\n\r\n",
             })
-    void refusesWhatIsNoMessageAsSoonAsItIsThere(String text) {
+    void malformedMessageIsRejectedImmediately(String text) {
         EmbeddedChannel channel = new EmbeddedChannel(new SipDecoder());
-        DecoderException e = assertThrows(DecoderException.class, () -> channel.writeInbound(octets(text)));
+        DecoderException e = assertThrows(DecoderException.class, () -> channel.writeInbound(bytesOf(text)));
         assertTrue(e.getCause() instanceof SipFormatException, e.toString());
-        // What follows is passed over and not kept.
-        channel.writeInbound(octets(INVITE));
+        // Everything after the malformed message is discarded.
+        channel.writeInbound(bytesOf(INVITE));
         assertNull(channel.readInbound());
         channel.finishAndReleaseAll();
     }
 
     @Test
-    void aLineWithoutAnEndIsBounded() {
+    void lineWithoutEndIsBounded() {
         EmbeddedChannel channel = new EmbeddedChannel(new SipDecoder());
         String part = "x".repeat(1_000);
-        channel.writeInbound(octets("INVITE sip:a@net SIP/2.0\r\nA: "));
+        channel.writeInbound(bytesOf("INVITE sip:a@net SIP/2.0\r\nA: "));
         assertThrows(DecoderException.class, () -> {
             for (int i = 0; i < 20; i++) {
-                channel.writeInbound(octets(part));
+                channel.writeInbound(bytesOf(part));
             }
         });
         channel.finishAndReleaseAll();
     }
 
     @Test
-    void linesWithoutEndAreBounded() {
+    void numberOfHeaderLinesIsBounded() {
         EmbeddedChannel channel = new EmbeddedChannel(new SipDecoder());
-        channel.writeInbound(octets("INVITE sip:a@net SIP/2.0\r\n"));
+        channel.writeInbound(bytesOf("INVITE sip:a@net SIP/2.0\r\n"));
         assertThrows(DecoderException.class, () -> {
             for (int i = 0; i < 100; i++) {
-                channel.writeInbound(octets("A: b\r\n"));
+                channel.writeInbound(bytesOf("A: b\r\n"));
             }
         });
         EmbeddedChannel empty = new EmbeddedChannel(new SipDecoder());
-        assertThrows(DecoderException.class, () -> empty.writeInbound(octets("\r\n".repeat(9_000))));
+        assertThrows(DecoderException.class, () -> empty.writeInbound(bytesOf("\r\n".repeat(9_000))));
         channel.finishAndReleaseAll();
         empty.finishAndReleaseAll();
     }
 
     @Test
-    void whatIsWrittenReadsBackTheSame() {
+    void encodedMessageDecodesToSameMessage() {
         byte[] body = {0, 13, 10, -1, 13, 10, 13, 10, 7};
         SipMessage sent = SipMessage.request(SipMessage.INVITE, "sip:1@net", "00000000000000ff", 3, body)
                 .addHeader("X-Timer-Ms", "1500")
@@ -159,10 +160,10 @@
     }
 
     @Test
-    void cseqThatCanNotBeReadIsNone() {
-        SipMessage odd = SipMessage.response(200, "OK", "1", "x INVITE");
-        assertEquals(-1, odd.cseqNumber());
-        assertEquals("INVITE", odd.cseqMethod());
+    void invalidCseqHasNoSequenceNumber() {
+        SipMessage response = SipMessage.response(200, "OK", "1", "x INVITE");
+        assertEquals(-1, response.cseqNumber());
+        assertEquals("INVITE", response.cseqMethod());
         assertEquals("", SipMessage.response(200, "OK", "1", null).cseqMethod());
     }
 }
