--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -1,11 +1,11 @@
 package damsonseam.config;
 
-import damsonseam.Front.CallClass;
-import damsonseam.Front.Settings;
+import damsonseam.RoutingPolicy.CallClass;
+import damsonseam.RoutingPolicy.PolicySettings;
 import damsonseam.core.NumberPlan;
 import damsonseam.dns.E164Name;
 import damsonseam.overload.OverloadSettings;
-import damsonseam.overload.Ranks;
+import damsonseam.overload.WorthRanks;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -353,8 +353,8 @@
     }
 
     /** The ranks of the classes by worth. */
-    public Ranks ranks() {
-        return new Ranks(classes.stream().map(CallClassSettings::worth).toList());
+    public WorthRanks ranks() {
+        return new WorthRanks(classes.stream().map(CallClassSettings::worth).toList());
     }
 
     /** Time between beats of the front's loop, in milliseconds: a quarter of the module's own. */
@@ -363,10 +363,10 @@
     public static final double ANSWER_SLACK_MS = 20;
 
     /** What the module is given. */
-    public Settings moduleSettings(long seed) {
+    public PolicySettings moduleSettings(long seed) {
         List<CallClass> forModule = new ArrayList<>();
         classes.forEach(c -> forModule.add(c.toCallClass()));
-        return new Settings(
+        return new PolicySettings(
                 seed,
                 OptionalInt.of(fleet.fronts()),
                 forModule,
--- a/src/main/java/damsonseam/front/DirectoryClient.java
+++ b/src/main/java/damsonseam/front/DirectoryClient.java
@@ -1,14 +1,14 @@
 package damsonseam.front;
 
-import damsonseam.Front.State;
-import damsonseam.core.Pool;
-import damsonseam.core.Ports;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.core.Router;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.ServerList;
 import damsonseam.directory.wire.Entry;
 import damsonseam.directory.wire.FollowRequest;
 import damsonseam.directory.wire.PoolDirectoryGrpc;
 import damsonseam.directory.wire.Update;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import io.grpc.Context;
 import io.grpc.ManagedChannel;
 import io.grpc.netty.shaded.io.grpc.netty.NettyChannelBuilder;
@@ -26,11 +26,11 @@
  * breaks, the decision module is notified and requests a new one; the server list stays unchanged until the next
  * update. Confined to the event loop, except for the gRPC callbacks, which submit tasks to it.
  */
-final class DirectoryClient implements Ports.Directory {
+final class DirectoryClient implements RouterPorts.Directory {
     private static final Logger LOG = LoggerFactory.getLogger(DirectoryClient.class);
     private static final int MAX_MESSAGE_BYTES = 1 << 20;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final String frontName;
     private final ManagedChannel channel;
     private Router router;
@@ -38,7 +38,7 @@
     private Context.CancellableContext streamContext;
     private long generation;
 
-    DirectoryClient(Loop loop, String frontName, InetSocketAddress address) {
+    DirectoryClient(CoreLoop loop, String frontName, InetSocketAddress address) {
         this.loop = loop;
         this.frontName = frontName;
         channel = NettyChannelBuilder.forAddress(address)
@@ -52,18 +52,18 @@
     void start(Router router, TrunkLinks trunks) {
         this.router = router;
         this.trunks = trunks;
-        follow();
+        subscribeToUpdates();
     }
 
     @Override
-    public void fetch() {
+    public void requestServerList() {
         openStream(0);
     }
 
     @Override
-    public void follow() {
+    public void subscribeToUpdates() {
         if (streamContext == null) {
-            openStream(router.pool().version());
+            openStream(router.serverList().version());
         }
     }
 
@@ -109,7 +109,7 @@
         double now = loop.now();
         boolean gap;
         try {
-            gap = router.directory(now, update.getVersion(), update.getFull(), servers(update, now));
+            gap = router.serverListUpdated(now, update.getVersion(), update.getFull(), servers(update, now));
         } catch (IllegalArgumentException e) {
             LOG.atWarn()
                     .addKeyValue("version", update.getVersion())
@@ -122,27 +122,27 @@
                 .addKeyValue("full", update.getFull())
                 .addKeyValue("entries", update.getEntriesCount())
                 .log("directory update");
-        trunks.onServerListUpdate(router.pool());
+        trunks.onServerListUpdate(router.serverList());
         if (gap) {
-            fetch();
+            requestServerList();
         }
-        loop.kick();
+        loop.scheduleBatchEnd();
     }
 
-    private static List<Pool.Server> servers(Update update, double now) {
-        List<Pool.Server> servers = new ArrayList<>(update.getEntriesCount());
+    private static List<ServerList.Server> servers(Update update, double now) {
+        List<ServerList.Server> servers = new ArrayList<>(update.getEntriesCount());
         for (Entry e : update.getEntriesList()) {
-            State state =
+            ServerState state =
                     switch (e.getState()) {
-                        case RUNNING -> State.RUNNING;
-                        case DRAINING -> State.DRAINING;
-                        case GONE -> State.GONE;
+                        case RUNNING -> ServerState.RUNNING;
+                        case DRAINING -> ServerState.DRAINING;
+                        case GONE -> ServerState.GONE;
                         default -> throw new IllegalArgumentException("server " + e.getServer() + " has no state");
                     };
-            if (e.getServer().isEmpty() || state != State.GONE) {
+            if (e.getServer().isEmpty() || state != ServerState.GONE) {
                 damsonseam.config.Endpoint.parse(e.getAddress());
             }
-            servers.add(new Pool.Server(
+            servers.add(new ServerList.Server(
                     e.getServer(),
                     e.getNumber(),
                     e.getAddress(),
@@ -158,7 +158,7 @@
             LOG.atWarn().addKeyValue("why", reason).log("directory stream broke");
             cancelStream();
             router.directoryFailed(loop.now());
-            loop.kick();
+            loop.scheduleBatchEnd();
         }
     }
 
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -1,15 +1,15 @@
 package damsonseam.front;
 
-import damsonseam.Decide;
-import damsonseam.Front;
+import damsonseam.CongestionControlPolicy;
+import damsonseam.RoutingPolicy;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.core.CallTable;
+import damsonseam.core.CallTracer;
 import damsonseam.core.Counters;
 import damsonseam.core.NumberPlan;
 import damsonseam.core.Router;
 import damsonseam.core.RouterSettings;
-import damsonseam.core.Story;
 import damsonseam.dns.Authorities;
 import damsonseam.dns.E164Name;
 import damsonseam.dns.EnumService;
@@ -18,10 +18,10 @@
 import damsonseam.dns.Resolver;
 import damsonseam.dns.Transactions;
 import damsonseam.loop.CallLog;
-import damsonseam.loop.Loop;
-import damsonseam.overload.Admission;
-import damsonseam.overload.Gate;
-import damsonseam.overload.LoopGauge;
+import damsonseam.loop.CoreLoop;
+import damsonseam.overload.AdmissionController;
+import damsonseam.overload.LevelAdmissionController;
+import damsonseam.overload.LoopDelayGauge;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -48,7 +48,7 @@
 
     private final FrontSettings settings;
     private final MultiThreadIoEventLoopGroup group;
-    private final Loop loop;
+    private final CoreLoop loop;
     private final Router router;
     private final Resolver resolver;
     private final EnumService enumService;
@@ -65,15 +65,17 @@
      * @param module factory of the decision module
      * @param admission supplier of admission controllers, called once for UDP and once for TCP
      */
-    public record Components(Function<Front.Actions, Front> module, Supplier<Admission> admission) {
+    public record Components(
+            Function<RoutingPolicy.PolicyActions, RoutingPolicy> module, Supplier<AdmissionController> admission) {
         /** Returns the components of a regular front. */
         public static Components defaults(FrontSettings settings) {
             long seed = settings.front().seed() == null
                     ? new SecureRandom().nextLong()
                     : settings.front().seed();
             return new Components(
-                    actions -> new Decide(settings.moduleSettings(seed), actions),
-                    () -> new Gate(settings.overloadSettings(), settings.ranks().count(), seed));
+                    actions -> new CongestionControlPolicy(settings.moduleSettings(seed), actions),
+                    () -> new LevelAdmissionController(
+                            settings.overloadSettings(), settings.ranks().count(), seed));
         }
     }
 
@@ -82,7 +84,7 @@
         this.settings = settings;
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop eventLoop = (EventLoop) group.next();
-        loop = new Loop(eventLoop, FrontSettings.TICK_MS);
+        loop = new CoreLoop(eventLoop, FrontSettings.TICK_MS);
         trunks = new TrunkLinks(loop, settings);
         directory = new DirectoryClient(
                 loop, settings.front().name(), settings.directory().address().toSocketAddress());
@@ -126,7 +128,7 @@
                 },
                 trunks,
                 directory,
-                logCalls ? new CallLog(settings.front().name()) : Story.NONE);
+                logCalls ? new CallLog(settings.front().name()) : CallTracer.NONE);
         NumberPlan plan = settings.numberPlan();
         enumService = new EnumService(
                 suffix,
@@ -169,14 +171,14 @@
             loop.start(
                     () -> {
                         selfMonitor.onTick(loop.now());
-                        router.beat(loop.now());
+                        router.onTick(loop.now());
                         trunks.flush();
                         dnsListener.intake().flushAnswers();
                     },
                     () -> {
                         resolver.deliver(loop.now());
                         double batchStart = loop.now();
-                        router.settle(batchStart);
+                        router.endBatch(batchStart);
                         selfMonitor.recordBatch(batchStart, loop.now() - batchStart);
                         trunks.flush();
                         dnsListener.intake().flushAnswers();
@@ -229,12 +231,12 @@
         return callOnLoop(() -> {
             Counters counters = router.counters();
             DatagramIntake.Counters intake = dnsListener.intake().counters();
-            LoopGauge loopGauge = selfMonitor.loopGauge();
-            LoopGauge intakeGauge = dnsListener.intake().loopGauge();
+            LoopDelayGauge loopGauge = selfMonitor.loopGauge();
+            LoopDelayGauge intakeGauge = dnsListener.intake().loopGauge();
             JvmMonitor.Sample sample = selfMonitor.latestSample();
             return new FrontReport(
-                    counters.taken,
-                    counters.stood,
+                    counters.received,
+                    counters.established,
                     counters.refused,
                     counters.failed,
                     counters.setUps,
@@ -244,20 +246,20 @@
                     intake.queueFull,
                     intake.offered,
                     intake.refused,
-                    loopGauge.percentile(50),
-                    loopGauge.percentile(99),
-                    loopGauge.most(),
-                    intakeGauge.percentile(99),
-                    intakeGauge.most(),
-                    dnsListener.load().perCall() * 1_000,
-                    sample.loopAllocatedBytes() / Math.max(1, counters.taken),
+                    loopGauge.percentileMs(50),
+                    loopGauge.percentileMs(99),
+                    loopGauge.maxDelayMs(),
+                    intakeGauge.percentileMs(99),
+                    intakeGauge.maxDelayMs(),
+                    dnsListener.load().costPerCallMs() * 1_000,
+                    sample.loopAllocatedBytes() / Math.max(1, counters.received),
                     sample.collectorMs(),
                     sample.heapShare(),
                     selfMonitor.cacheShare(),
                     selfMonitor.secondsByCause(),
                     selfMonitor.longestBatchMs(),
-                    router.open(),
-                    router.owed(),
+                    router.openCalls(),
+                    router.unansweredCalls(),
                     selfMonitor.heldCapacity());
         });
     }
@@ -273,7 +275,7 @@
 
     /** Returns the number of open calls, including established ones. */
     public int openCalls() {
-        return callOnLoop(router::open);
+        return callOnLoop(router::openCalls);
     }
 
     /** Returns the live counters since the start. They are not synchronized: read them when the front is idle. */
@@ -285,12 +287,12 @@
     public void drain() throws InterruptedException {
         LOG.atInfo().addKeyValue("front", settings.front().name()).log("draining");
         callOnLoop(() -> {
-            router.drain();
+            router.startDraining();
             dnsListener.stopAccepting();
             return null;
         });
         long deadlineNs = System.nanoTime() + (long) (settings.limits().drain().ms() * 1e6);
-        while (callOnLoop(router::unanswered) > 0 && System.nanoTime() < deadlineNs) {
+        while (callOnLoop(router::countUnansweredCalls) > 0 && System.nanoTime() < deadlineNs) {
             Thread.sleep(POLL_INTERVAL_MS);
         }
         close();
--- a/src/main/java/damsonseam/front/SelfMonitor.java
+++ b/src/main/java/damsonseam/front/SelfMonitor.java
@@ -5,14 +5,14 @@
 import damsonseam.core.Router;
 import damsonseam.dns.LookupCache;
 import damsonseam.dns.Resolver;
-import damsonseam.overload.Diagnosis;
-import damsonseam.overload.Diagnosis.Cause;
-import damsonseam.overload.HeldRoom;
-import damsonseam.overload.LoopGauge;
-import damsonseam.overload.MemoryWatch;
+import damsonseam.overload.DelayDiagnosis;
+import damsonseam.overload.DelayDiagnosis.Cause;
+import damsonseam.overload.HeldCallLimit;
+import damsonseam.overload.LoopDelayGauge;
+import damsonseam.overload.MemoryMonitor;
 import damsonseam.overload.OverloadSettings;
-import damsonseam.overload.Ranks;
 import damsonseam.overload.TablePressure;
+import damsonseam.overload.WorthRanks;
 import java.util.EnumMap;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -31,16 +31,16 @@
     private final String frontName;
     private final FrontSettings settings;
     private final OverloadSettings overloadSettings;
-    private final Ranks ranks;
+    private final WorthRanks ranks;
     private final Router router;
     private final Resolver resolver;
     private final LookupCache cache;
     private final FrontLoadState load;
     private final JvmMonitor jvmMonitor = new JvmMonitor();
-    private final LoopGauge loopGauge = new LoopGauge(FrontSettings.TICK_MS);
-    private final MemoryWatch memoryWatch;
+    private final LoopDelayGauge loopGauge = new LoopDelayGauge(FrontSettings.TICK_MS);
+    private final MemoryMonitor memoryWatch;
     private final TablePressure tables;
-    private final HeldRoom heldCalls;
+    private final HeldCallLimit heldCalls;
     private double resourcePressure = -1;
     private final Map<Cause, Long> secondsByCause = new EnumMap<>(Cause.class);
     private Cause lastCause = Cause.CALM;
@@ -65,9 +65,9 @@
         frontName = settings.front().name();
         overloadSettings = settings.overloadSettings();
         ranks = settings.ranks();
-        memoryWatch = new MemoryWatch(overloadSettings);
+        memoryWatch = new MemoryMonitor(overloadSettings);
         tables = new TablePressure(overloadSettings, ranks.count());
-        heldCalls = new HeldRoom(settings.limits().calls());
+        heldCalls = new HeldCallLimit(settings.limits().calls());
     }
 
     /** Starts monitoring. Must be called on the event loop's thread. */
@@ -77,7 +77,7 @@
 
     /** Called at each tick of the event loop. */
     void onTick(double now) {
-        loopGauge.beat(now);
+        loopGauge.recordTick(now);
         load.recordIteration(now);
         if (now < nextSampleAt) {
             return;
@@ -86,18 +86,18 @@
         JvmMonitor.Sample sample = jvmMonitor.latestSample();
         if (sample.collections() != collectionsSeen) {
             collectionsSeen = sample.collections();
-            memoryWatch.collected(now, sample.heapShare());
+            memoryWatch.recordCollection(now, sample.heapShare());
         }
-        long taken = router.counters().taken;
+        long taken = router.counters().received;
         load.recordCpuSample(sample.loopCpuMs() - previousLoopCpuMs, (int) (taken - previousTaken));
         previousLoopCpuMs = sample.loopCpuMs();
         previousTaken = taken;
-        cacheShare = memoryWatch.cacheRoom(now);
+        cacheShare = memoryWatch.cacheShare(now);
         cache.room(cacheShare);
         resourcePressure = Math.max(
                 memoryWatch.pressure(ranks.count()),
                 tables.pressure(
-                        router.open() / (double) settings.limits().calls(),
+                        router.openCalls() / (double) settings.limits().calls(),
                         resolver.out() / (double) settings.limits().lookups(),
                         sample.openFileShare()));
         if (Double.isNaN(nextDiagnosisAt)) {
@@ -112,24 +112,24 @@
         Counters counters = router.counters();
         long setUps = counters.setUps - previousSetUps;
         long timedOut = counters.timedOut - previousTimedOut;
-        Diagnosis.Window window = new Diagnosis.Window(
-                loopGauge.takeLongest(),
+        DelayDiagnosis.Window window = new DelayDiagnosis.Window(
+                loopGauge.takeMaxDelayMs(),
                 sample.loopCpuMs() - previousSample.loopCpuMs(),
                 sample.collectorMs() - previousSample.collectorMs(),
                 setUps == 0 ? 0 : timedOut / (double) setUps);
-        Cause cause = Diagnosis.of(window, overloadSettings.delayCeiling());
+        Cause cause = DelayDiagnosis.diagnose(window, overloadSettings.delayCeiling());
         secondsByCause.merge(cause, 1L, Long::sum);
         if (cause != lastCause) {
             (cause == Cause.CALM ? LOG.atInfo() : LOG.atWarn())
                     .addKeyValue("front", frontName)
                     .addKeyValue("state", cause.toString())
-                    .addKeyValue("delayMs", Math.round(window.delay()))
-                    .addKeyValue("loopCpuMs", Math.round(window.loopCpu()))
-                    .addKeyValue("collectorMs", Math.round(window.collector()))
+                    .addKeyValue("delayMs", Math.round(window.maxDelayMs()))
+                    .addKeyValue("loopCpuMs", Math.round(window.loopCpuMs()))
+                    .addKeyValue("collectorMs", Math.round(window.collectorPauseMs()))
                     .addKeyValue("momentMs", Math.round(longestBatchInWindowMs))
                     .addKeyValue("heap", sample.heapShare())
                     .addKeyValue("cpu", sample.cpuShare())
-                    .addKeyValue("perCallUs", Math.round(load.perCall() * 1_000))
+                    .addKeyValue("perCallUs", Math.round(load.costPerCallMs() * 1_000))
                     .log("front state");
             lastCause = cause;
         }
@@ -142,11 +142,11 @@
 
     /** Records that the decision module took {@code ms} milliseconds for a batch of simultaneous events. */
     void recordBatch(double now, double durationMs) {
-        heldCalls.moment(now, durationMs, router.owed());
+        heldCalls.recordBatch(now, durationMs, router.unansweredCalls());
         // The module serves high-worth calls first, so a call only waits for held calls of its own rank and above.
         double[] pressure = new double[ranks.count()];
         for (int callClass = 0; callClass < settings.classes().size(); callClass++) {
-            pressure[ranks.of(callClass)] += router.owed(callClass);
+            pressure[ranks.rankOfClass(callClass)] += router.unansweredCalls(callClass);
         }
         double unansweredFromRank = 0;
         for (int rank = ranks.count() - 1; rank >= 0; rank--) {
@@ -168,7 +168,7 @@
         longestBatchMs = 0;
     }
 
-    LoopGauge loopGauge() {
+    LoopDelayGauge loopGauge() {
         return loopGauge;
     }
 
@@ -181,7 +181,7 @@
     }
 
     double heldCapacity() {
-        return heldCalls.room();
+        return heldCalls.limit();
     }
 
     double cacheShare() {
--- a/src/main/java/damsonseam/node/CallRegistry.java
+++ b/src/main/java/damsonseam/node/CallRegistry.java
@@ -1,8 +1,8 @@
 package damsonseam.node;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import damsonseam.core.CallRecord;
 import damsonseam.core.FinalAnswer;
 import damsonseam.core.Router;
@@ -171,42 +171,42 @@
         SipMessage refusal = finalAnswer.kind() == FinalAnswer.Kind.REFUSED
                 ? SipMessage.response(SERVICE_UNAVAILABLE, "Service Unavailable", call.id, call.cseq)
                 : SipMessage.response(SERVER_INTERNAL_ERROR, "Server Internal Error", call.id, call.cseq);
-        if (finalAnswer.returnAfter() >= 1) {
-            refusal.addHeader("X-Pause", Long.toString(Math.round(finalAnswer.returnAfter())));
+        if (finalAnswer.retryAfterMs() >= 1) {
+            refusal.addHeader("X-Pause", Long.toString(Math.round(finalAnswer.retryAfterMs())));
         }
         caller.send(refusal, null);
     }
 
     /** Removes a call whose caller abandoned it before the final response. */
     void abandon(NodeCall call) {
-        router.left(router.now(), call.record);
+        router.callerAbandoned(router.now(), call.record);
         remove(call);
     }
 
     /** Releases an established call on the caller's behalf, toward its server. */
     void releaseByCaller(NodeCall call) {
         ServerEndpoint server = call.establishedServer;
-        finishRelease(call, Result.CANCELLED, Report.NONE, CAUSE_NORMAL_CLEARING);
+        finishRelease(call, AttemptStatus.CANCELLED, ServerLoadReport.NONE, CAUSE_NORMAL_CLEARING);
         server.sendBye(call.id, call.requestUri);
     }
 
     /** Ends an established call that its server released, or that ended with its server, and releases its caller. */
-    void onReleasedByServer(NodeCall call, Result result, Report report) {
-        int cause = result == Result.COMPLETED ? CAUSE_NORMAL_CLEARING : CAUSE_TEMPORARY_FAILURE;
+    void onReleasedByServer(NodeCall call, AttemptStatus result, ServerLoadReport report) {
+        int cause = result == AttemptStatus.COMPLETED ? CAUSE_NORMAL_CLEARING : CAUSE_TEMPORARY_FAILURE;
         finishRelease(call, result, report, cause);
         releases.send(call, cause);
     }
 
-    private void finishRelease(NodeCall call, Result result, Report report, int cause) {
+    private void finishRelease(NodeCall call, AttemptStatus result, ServerLoadReport report, int cause) {
         recordRelease(call.establishedServer.id(), call.id, cause);
         logCallEvent(call, "call released: " + result);
         if (call.record != null) {
-            router.ended(
+            router.attemptEnded(
                     router.now(),
                     call.record.id(),
                     call.record.attempts() - 1,
                     result,
-                    Reason.NONE,
+                    RejectReason.NONE,
                     OptionalDouble.empty(),
                     report);
         }
--- a/src/main/java/damsonseam/node/CallerListener.java
+++ b/src/main/java/damsonseam/node/CallerListener.java
@@ -1,7 +1,7 @@
 package damsonseam.node;
 
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import damsonseam.sip.SipDecoder;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -43,7 +43,7 @@
 
     private static final double SWEEP_INTERVAL_MS = 50;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final InviteParser inviteParser;
     private final CallRegistry callRegistry;
     private final ServerEndpoints serverEndpoints;
@@ -62,7 +62,7 @@
     private double acceptFromMs = Double.NEGATIVE_INFINITY;
 
     CallerListener(
-            Loop loop,
+            CoreLoop loop,
             InviteParser inviteParser,
             CallRegistry callRegistry,
             ServerEndpoints serverEndpoints,
@@ -78,7 +78,7 @@
 
     void start(Router router) {
         this.router = router;
-        loop.timers().set(loop.now() + SWEEP_INTERVAL_MS, this::sweep);
+        loop.timers().schedule(loop.now() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     /** Opens the port and waits until it is open. */
@@ -245,14 +245,14 @@
         });
         expired.forEach(connection -> connection.close("silent or idle"));
         enforceConnectionLimit(now);
-        loop.timers().set(now + SWEEP_INTERVAL_MS, this::sweep);
+        loop.timers().schedule(now + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     boolean isReady() {
         return ready.getAsBoolean();
     }
 
-    Loop loop() {
+    CoreLoop loop() {
         return loop;
     }
 
--- a/src/main/java/damsonseam/node/CoordinatorClient.java
+++ b/src/main/java/damsonseam/node/CoordinatorClient.java
@@ -1,11 +1,11 @@
 package damsonseam.node;
 
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.Endpoint;
-import damsonseam.core.Pool;
-import damsonseam.core.Ports;
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.ServerList;
+import damsonseam.loop.CoreLoop;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -30,7 +30,7 @@
  * by one backoff, whoever requests an update: a fleet that lost its coordinator must not flood it when it returns.
  * Used on the event loop only.
  */
-final class CoordinatorClient implements Ports.Directory {
+final class CoordinatorClient implements RouterPorts.Directory {
     private static final Logger LOG = LoggerFactory.getLogger(CoordinatorClient.class);
     /** The coordinator sends a frame each second; waiting for two missing ones would detect its silence too late. */
     private static final double SILENCE_TIMEOUT_MS = 1_500;
@@ -40,9 +40,9 @@
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final int HEADER_BYTES = 9;
     private static final int RECORD_BYTES = 27;
-    private static final int MAX_FRAME_BYTES = HEADER_BYTES + RECORD_BYTES * Pool.MOST_SERVERS;
+    private static final int MAX_FRAME_BYTES = HEADER_BYTES + RECORD_BYTES * ServerList.MAX_SERVERS;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final ServerEndpoints serverEndpoints;
     private final SplittableRandom random;
     private Router router;
@@ -62,7 +62,7 @@
      *
      * @param seed seed of the jitter that spreads the backoffs of a fleet
      */
-    CoordinatorClient(Loop loop, ServerEndpoints serverEndpoints, Endpoint address, long seed) {
+    CoordinatorClient(CoreLoop loop, ServerEndpoints serverEndpoints, Endpoint address, long seed) {
         this.loop = loop;
         this.serverEndpoints = serverEndpoints;
         this.address = address;
@@ -81,13 +81,13 @@
      * after a failure.
      */
     @Override
-    public void follow() {
-        fetch();
+    public void subscribeToUpdates() {
+        requestServerList();
     }
 
     /** Reconnects after the backoff and asks for the updates after the last one; does nothing while not connected. */
     @Override
-    public void fetch() {
+    public void requestServerList() {
         if (channel != null) {
             onConnectionLost(generation, "update requested");
         }
@@ -148,7 +148,7 @@
     }
 
     private void scheduleSilenceCheck(long connectionGeneration) {
-        loop.timers().set(loop.now() + SILENCE_TIMEOUT_MS / 4, now -> {
+        loop.timers().schedule(loop.now() + SILENCE_TIMEOUT_MS / 4, now -> {
             if (connectionGeneration != generation) {
                 return;
             }
@@ -166,12 +166,12 @@
         }
         LOG.atInfo()
                 .addKeyValue("why", reason)
-                .addKeyValue("last", router.pool().version())
+                .addKeyValue("last", router.serverList().version())
                 .log("coordinator connection lost");
         long nextGeneration = disconnect();
         double delayMs = backoffMs * (0.5 + 0.5 * random.nextDouble());
         backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
-        loop.timers().set(loop.now() + delayMs, now -> {
+        loop.timers().schedule(loop.now() + delayMs, now -> {
             if (nextGeneration == generation) {
                 connect();
             }
@@ -181,7 +181,7 @@
     /** Handles one frame; a null update means that there is no update up to {@code number} that this node lacks. */
     private void onFrame(long connectionGeneration, long number, ServerListUpdate update) {
         lastReceivedMs = loop.now();
-        if (update != null ? apply(update) : number <= router.pool().version() || number <= lastGapNumber) {
+        if (update != null ? apply(update) : number <= router.serverList().version() || number <= lastGapNumber) {
             backoffMs = INITIAL_BACKOFF_MS;
             return;
         }
@@ -192,13 +192,13 @@
 
     /** Applies an update, unless it has been applied already; returns false if one before it is missing. */
     private boolean apply(ServerListUpdate update) {
-        if (update.number() <= router.pool().version()) {
+        if (update.number() <= router.serverList().version()) {
             return true;
         }
         double now = loop.now();
-        boolean gap = router.directory(
+        boolean gap = router.serverListUpdated(
                 now, update.number(), update.full(), update.toServers(now, System.currentTimeMillis()));
-        serverEndpoints.applyServerList(router.pool());
+        serverEndpoints.applyServerList(router.serverList());
         LOG.atInfo()
                 .addKeyValue("number", update.number())
                 .addKeyValue("full", update.full())
@@ -234,7 +234,7 @@
                     id,
                     host + ":" + port,
                     cell,
-                    new State[] {State.RUNNING, State.DRAINING, State.GONE}[state],
+                    new ServerState[] {ServerState.RUNNING, ServerState.DRAINING, ServerState.GONE}[state],
                     frame.readLong()));
         }
         return new ServerListUpdate(number, kind == 1, entries);
@@ -263,7 +263,8 @@
                 return;
             }
             channel = ctx.channel();
-            ctx.writeAndFlush(ctx.alloc().buffer(8).writeLong(router.pool().version()));
+            ctx.writeAndFlush(
+                    ctx.alloc().buffer(8).writeLong(router.serverList().version()));
         }
 
         @Override
@@ -276,7 +277,7 @@
             }
             long number = frame.readLong();
             onFrame(connectionGeneration, number, parseFrame(number, frame));
-            loop.kick();
+            loop.scheduleBatchEnd();
         }
 
         @Override
--- a/src/main/java/damsonseam/node/NodeCall.java
+++ b/src/main/java/damsonseam/node/NodeCall.java
@@ -2,13 +2,13 @@
 
 import damsonseam.core.CallRecord;
 import damsonseam.core.FinalAnswer;
-import damsonseam.core.Ports;
+import damsonseam.core.RouterPorts;
 
 /**
  * A call as the SIP side sees it, beside the core's record: what is passed on unchanged, the caller's connection and
  * the server. A call established before this node's start has no record, as the module never had it. Event loop only.
  */
-final class NodeCall implements Ports.Caller {
+final class NodeCall implements RouterPorts.Caller {
     /** The caller's Call-ID. */
     final String id;
     /** The Request-URI of the INVITE. */
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void answered(double now, CallRecord call, FinalAnswer finalAnswer) {
+    public void onFinalAnswer(double now, CallRecord call, FinalAnswer finalAnswer) {
         callRegistry.onFinalAnswer(now, this, call, finalAnswer);
     }
 }
--- a/src/main/java/damsonseam/node/NodeConfig.java
+++ b/src/main/java/damsonseam/node/NodeConfig.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.Endpoint;
 import damsonseam.config.SettingsException;
-import damsonseam.settings.StartSettings;
+import damsonseam.settings.PlatformSettings;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -35,7 +35,7 @@
         int memoryMb,
         Endpoint coordinator,
         List<ServerListUpdate> knownUpdates,
-        StartSettings settings) {
+        PlatformSettings settings) {
     /** Size limit of the file, which is read whole. */
     private static final int MAX_FILE_BYTES = 4 << 20;
 
@@ -67,7 +67,8 @@
                 limits.path("memory_mb").asInt(0),
                 Endpoint.parse(require(root, "coordinator").asText()),
                 parseUpdates(root.path("known").path("updates")),
-                new StartSettings(paths, expected -> new IllegalArgumentException("settings: expected " + expected)));
+                new PlatformSettings(
+                        paths, expected -> new IllegalArgumentException("settings: expected " + expected)));
     }
 
     private static JsonNode require(JsonNode root, String key) {
@@ -107,11 +108,11 @@
             JsonNode endpoints = require(update, "endpoints");
             List<ServerListUpdate.Entry> entries = new ArrayList<>();
             for (JsonNode member : endpoints.path("members")) {
-                State state =
+                ServerState state =
                         switch (require(member, "phase").asText()) {
-                            case "ready" -> State.RUNNING;
-                            case "draining" -> State.DRAINING;
-                            case "gone" -> State.GONE;
+                            case "ready" -> ServerState.RUNNING;
+                            case "draining" -> ServerState.DRAINING;
+                            case "gone" -> ServerState.GONE;
                             default ->
                                 throw new IllegalArgumentException("expected phase ready, draining or gone, not "
                                         + member.path("phase").asText());
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -1,15 +1,15 @@
 package damsonseam.node;
 
-import damsonseam.Decide;
-import damsonseam.Front.CallClass;
-import damsonseam.Front.Settings;
+import damsonseam.CongestionControlPolicy;
+import damsonseam.RoutingPolicy.CallClass;
+import damsonseam.RoutingPolicy.PolicySettings;
 import damsonseam.core.CallTable;
+import damsonseam.core.CallTracer;
 import damsonseam.core.Counters;
 import damsonseam.core.Router;
 import damsonseam.core.RouterSettings;
-import damsonseam.core.Story;
 import damsonseam.loop.CallLog;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.EventLoop;
@@ -55,7 +55,7 @@
 
     private final NodeConfig config;
     private final MultiThreadIoEventLoopGroup group;
-    private final Loop loop;
+    private final CoreLoop loop;
     private final PendingReleases pendingReleases;
     private final CallRegistry callRegistry;
     private final ServerEndpoints serverEndpoints;
@@ -70,10 +70,10 @@
     private NodeServer(NodeConfig config) {
         this.config = config;
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        loop = new Loop((EventLoop) group.next(), TICK_MS);
+        loop = new CoreLoop((EventLoop) group.next(), TICK_MS);
         pendingReleases = new PendingReleases(loop);
         callRegistry = new CallRegistry(pendingReleases);
-        Settings moduleSettings = config.settings().settings(config.seed());
+        PolicySettings moduleSettings = config.settings().moduleSettings(config.seed());
         classes = moduleSettings.classes();
         InviteParser inviteParser = new InviteParser(config.settings());
         int maxServerConnections = Math.min(MAX_SERVER_CONNECTIONS, config.maxSockets() / SERVER_DESCRIPTOR_DIVISOR);
@@ -95,11 +95,11 @@
                 this::isReady);
         coordinator = new CoordinatorClient(loop, serverEndpoints, config.coordinator(), config.seed());
         int maxOpenCalls = Math.min(
-                config.settings().mostHeld().orElse(DEFAULT_MAX_OPEN_CALLS),
+                config.settings().maxHeldCalls().orElse(DEFAULT_MAX_OPEN_CALLS),
                 config.memoryMb() > 0 ? config.memoryMb() * CALLS_PER_MB : DEFAULT_MAX_OPEN_CALLS);
         router = new Router(
                 new RouterSettings(moduleSettings, maxOpenCalls, TICK_MS, RELEASE_WRITE_TIMEOUT_MS, ANSWER_MARGIN_MS),
-                actions -> new Decide(moduleSettings, actions),
+                actions -> new CongestionControlPolicy(moduleSettings, actions),
                 new CallTable(maxOpenCalls, System.currentTimeMillis() / 1000),
                 loop.timers(),
                 (call, number, deadline) -> {
@@ -107,7 +107,9 @@
                 },
                 serverEndpoints,
                 coordinator,
-                LoggerFactory.getLogger(CallLog.NAME).isInfoEnabled() ? new CallLog(config.name()) : Story.NONE);
+                LoggerFactory.getLogger(CallLog.LOGGER_NAME).isInfoEnabled()
+                        ? new CallLog(config.name())
+                        : CallTracer.NONE);
     }
 
     /** Starts a front node and returns when its port is open. */
@@ -129,8 +131,8 @@
             serverEndpoints.start(router);
             callerListener.start(router);
             coordinator.start(router, config.knownUpdates());
-            loop.start(this::tick, () -> router.settle(loop.now()));
-            loop.kick();
+            loop.start(this::tick, () -> router.endBatch(loop.now()));
+            loop.scheduleBatchEnd();
             return null;
         });
         callerListener.bind(config.listen().toSocketAddress());
@@ -147,7 +149,7 @@
             LOG.atInfo().addKeyValue("ms", Math.round(now - lastTickMs)).log("event loop paused");
         }
         lastTickMs = now;
-        router.beat(now);
+        router.onTick(now);
     }
 
     private boolean isReady() {
@@ -186,7 +188,7 @@
     }
 
     private int pendingAnswers() {
-        return callOnLoop(() -> router.owed());
+        return callOnLoop(() -> router.unansweredCalls());
     }
 
     /** Returns the number of open calls, established ones included. */
@@ -206,7 +208,7 @@
 
     /** Returns the number of the last server-list update. */
     long serverListVersion() {
-        return callOnLoop(() -> router.pool().version());
+        return callOnLoop(() -> router.serverList().version());
     }
 
     /**
@@ -232,15 +234,15 @@
     ConsistencyCounts consistencyCounts() {
         return callOnLoop(() -> new ConsistencyCounts(
                 callRegistry.size(),
-                router.open(),
-                router.owed(),
+                router.openCalls(),
+                router.unansweredCalls(),
                 serverEndpoints.outstandingAttempts(),
                 serverEndpoints.carriedAttempts(),
                 serverEndpoints.establishedCalls(),
                 callRegistry.establishedAtCallers()));
     }
 
-    Loop loop() {
+    CoreLoop loop() {
         return loop;
     }
 
--- a/src/main/java/damsonseam/node/PendingReleases.java
+++ b/src/main/java/damsonseam/node/PendingReleases.java
@@ -1,7 +1,7 @@
 package damsonseam.node;
 
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import damsonseam.sip.SipHeaders;
 import damsonseam.sip.SipMessage;
 import java.util.ArrayList;
@@ -53,7 +53,7 @@
         }
     }
 
-    private final Loop loop;
+    private final CoreLoop loop;
     /** Pending releases by Call-ID, in the order in which their calls ended. */
     private final Map<String, PendingRelease> pending = new LinkedHashMap<>();
 
@@ -65,14 +65,14 @@
      */
     private boolean callersConfirm;
 
-    PendingReleases(Loop loop) {
+    PendingReleases(CoreLoop loop) {
         this.loop = loop;
     }
 
     void start(Router router, CallerListener callerListener) {
         this.router = router;
         this.callerListener = callerListener;
-        loop.timers().set(loop.now() + SWEEP_INTERVAL_MS, this::sweep);
+        loop.timers().schedule(loop.now() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     /** Returns how many BYE requests may still be confirmed in time; those without a connection are not counted. */
@@ -181,6 +181,6 @@
         if (callersConfirm) {
             retransmit(release -> release.connection != null && now - release.sentAtMs > CONFIRMATION_TIMEOUT_MS);
         }
-        loop.timers().set(now + SWEEP_INTERVAL_MS, this::sweep);
+        loop.timers().schedule(now + SWEEP_INTERVAL_MS, this::sweep);
     }
 }
--- a/src/main/java/damsonseam/node/ServerEndpoint.java
+++ b/src/main/java/damsonseam/node/ServerEndpoint.java
@@ -1,12 +1,12 @@
 package damsonseam.node;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.Endpoint;
-import damsonseam.core.Pool;
 import damsonseam.core.Router;
+import damsonseam.core.ServerList;
 import damsonseam.sip.SipDecoder;
 import damsonseam.sip.SipHeaders;
 import damsonseam.sip.SipMessage;
@@ -64,7 +64,7 @@
 
     private final ServerEndpoints.EndpointContext context;
     private final Router router;
-    private Pool.Server server;
+    private ServerList.Server server;
     private final List<ServerConnection> connections = new ArrayList<>();
     private final Map<String, Attempt> attempts = new HashMap<>();
     private final ArrayDeque<Attempt> queuedAttempts = new ArrayDeque<>();
@@ -120,7 +120,7 @@
     /** An OPTIONS request without a response yet; the module is notified of the outcome if it requested the probe. */
     private record Probe(double sentAtMs, boolean requested, ServerConnection connection) {}
 
-    ServerEndpoint(ServerEndpoints.EndpointContext context, Router router, Pool.Server server) {
+    ServerEndpoint(ServerEndpoints.EndpointContext context, Router router, ServerList.Server server) {
         this.context = context;
         this.router = router;
         this.server = server;
@@ -172,8 +172,8 @@
     // ---- Server list ------------------------------------------------------------------------------------
 
     /** Applies the entry of the server list for this server, perhaps with a later start or a new state. */
-    void update(Pool.Server updated) {
-        Pool.Server previous = server;
+    void update(ServerList.Server updated) {
+        ServerList.Server previous = server;
         listed = true;
         if (replaced && updated.address().equals(previous.address())) {
             return; // The list still names the replaced server: the update about its end is yet to come.
@@ -181,7 +181,7 @@
         server = updated;
         replaced = false;
         active = true;
-        if (updated.state() != State.RUNNING) {
+        if (updated.state() != ServerState.RUNNING) {
             failUnsent();
         }
         double startedAtMs = updated.startedAt().orElse(Double.NEGATIVE_INFINITY);
@@ -302,7 +302,7 @@
             }
             scheduleReconnect();
         }
-        context.loop().kick();
+        context.loop().scheduleBatchEnd();
     }
 
     /** Removes a closed connection. Attempts sent on it are reset: the server may have handled them. */
@@ -318,11 +318,11 @@
         // A BYE from the server may have been lost with it: the server repeats it on the next connection opened.
         connectAgain = connecting;
         connect();
-        router.clock(now());
+        router.advanceClock(now());
         for (Attempt attempt : List.copyOf(attempts.values())) {
             if (attempt.connection == connection && attempt.sent) {
                 attempt.nodeCall.brokenAttemptServer = this;
-                endAttempt(attempt, Result.RESET, Reason.NONE, Report.NONE);
+                endAttempt(attempt, AttemptStatus.RESET, RejectReason.NONE, ServerLoadReport.NONE);
             } else if (attempt.connection == connection) {
                 reassign(attempt);
             }
@@ -330,14 +330,15 @@
         probes.entrySet().removeIf(entry -> {
             boolean lost = entry.getValue().connection == connection;
             if (lost && entry.getValue().requested) {
-                router.probed(now(), server.id(), true, false, now() - entry.getValue().sentAtMs, Report.NONE);
+                router.probeCompleted(
+                        now(), server.id(), true, false, now() - entry.getValue().sentAtMs, ServerLoadReport.NONE);
             }
             return lost;
         });
         if (connections.isEmpty() && !active) {
             cutCalls(call -> true);
         }
-        context.loop().kick();
+        context.loop().scheduleBatchEnd();
     }
 
     private void scheduleReconnect() {
@@ -348,7 +349,7 @@
         double delayMs = backoffMs * (0.5 + 0.5 * context.random().nextDouble());
         backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
         backingOff = true;
-        context.loop().timers().set(now() + delayMs, firedAt -> {
+        context.loop().timers().schedule(now() + delayMs, firedAt -> {
             backingOff = false;
             if (connections.isEmpty()) {
                 connect();
@@ -402,7 +403,7 @@
     private void reassign(Attempt attempt) {
         attempt.connection = null;
         if (!active || !assignConnection(attempt)) {
-            endAttempt(attempt, Result.UNREACHABLE, Reason.NONE, Report.NONE);
+            endAttempt(attempt, AttemptStatus.UNREACHABLE, RejectReason.NONE, ServerLoadReport.NONE);
         }
     }
 
@@ -413,7 +414,7 @@
     private void assign(Attempt attempt, ServerConnection connection) {
         attempt.connection = connection;
         connection.adjustOutstanding(1);
-        context.loop().afterReads(() -> {
+        context.loop().runAfterReads(() -> {
             if (attempts.get(attempt.key()) == attempt && attempt.connection == connection && !attempt.sent) {
                 sendInvite(attempt);
             }
@@ -446,7 +447,7 @@
         }
         if (!attempt.sent) {
             queuedAttempts.remove(attempt);
-            context.loop().timers().set(now(), firedAt -> router.released(firedAt, recordId, index));
+            context.loop().timers().schedule(now(), firedAt -> router.releaseConfirmed(firedAt, recordId, index));
             return;
         }
         attempt.connection.onCancelled(attempt.sentAtMs);
@@ -454,24 +455,24 @@
         cancelledAttempts.put(attempt.key(), attempt.nodeCall.requestUri);
         attempt.connection.send(
                 SipMessage.request(SipMessage.CANCEL, attempt.nodeCall.requestUri, callId, index + 1), written -> {
-                    router.released(now(), recordId, index);
-                    context.loop().kick();
+                    router.releaseConfirmed(now(), recordId, index);
+                    context.loop().scheduleBatchEnd();
                 });
     }
 
-    private void endAttempt(Attempt attempt, Result result, Reason reason, Report report) {
+    private void endAttempt(Attempt attempt, AttemptStatus result, RejectReason reason, ServerLoadReport report) {
         attempts.remove(attempt.key());
         if (attempt.connection != null) {
             attempt.connection.adjustOutstanding(-1);
         }
-        router.ended(now(), attempt.recordId, attempt.index, result, reason, OptionalDouble.empty(), report);
+        router.attemptEnded(now(), attempt.recordId, attempt.index, result, reason, OptionalDouble.empty(), report);
         closeIfUnused();
     }
 
     /** Ends the attempts that wait for a connection as unreachable. */
     private void failQueued() {
         for (Attempt attempt = queuedAttempts.poll(); attempt != null; attempt = queuedAttempts.poll()) {
-            endAttempt(attempt, Result.UNREACHABLE, Reason.NONE, Report.NONE);
+            endAttempt(attempt, AttemptStatus.UNREACHABLE, RejectReason.NONE, ServerLoadReport.NONE);
         }
     }
 
@@ -480,7 +481,7 @@
         failQueued();
         for (Attempt attempt : List.copyOf(attempts.values())) {
             if (!attempt.sent) {
-                endAttempt(attempt, Result.UNREACHABLE, Reason.NONE, Report.NONE);
+                endAttempt(attempt, AttemptStatus.UNREACHABLE, RejectReason.NONE, ServerLoadReport.NONE);
             }
         }
     }
@@ -503,10 +504,10 @@
     }
 
     private void cutCalls(java.util.function.Predicate<NodeCall> filter) {
-        router.clock(now());
+        router.advanceClock(now());
         for (NodeCall call : List.copyOf(establishedCalls)) {
             if (filter.test(call)) {
-                context.callRegistry().onReleasedByServer(call, Result.RESET, Report.NONE);
+                context.callRegistry().onReleasedByServer(call, AttemptStatus.RESET, ServerLoadReport.NONE);
             }
         }
     }
@@ -518,18 +519,18 @@
         if (!isFailedProbe(message)) {
             lastReceivedMs = now;
         }
-        router.catchUp(now);
-        router.clock(now);
-        Report report = parseReport(message);
+        router.fireOverdueTimers(now);
+        router.advanceClock(now);
+        ServerLoadReport report = parseReport(message);
         if (!message.isRequest()) {
             onResponse(connection, message, report, now);
         } else if (message.method().equals(SipMessage.NOTIFY)) {
-            router.probed(now, server.id(), false, true, 0, report);
+            router.probeCompleted(now, server.id(), false, true, 0, report);
         } else if (message.method().equals(SipMessage.BYE)) {
             connection.send(SipMessage.response(SipMessage.OK, "OK", message.callId(), message.cseq()), null);
             onBye(connection, message, report);
         }
-        context.loop().kick();
+        context.loop().scheduleBatchEnd();
     }
 
     /**
@@ -542,19 +543,20 @@
                 && message.status() != SipMessage.OK;
     }
 
-    private Report parseReport(SipMessage message) {
+    private ServerLoadReport parseReport(SipMessage message) {
         String text = message.headers().get("X-Occupancy");
-        return text == null ? Report.NONE : context.reportFields().read(text, IllegalArgumentException::new);
+        return text == null ? ServerLoadReport.NONE : context.reportFields().parse(text, IllegalArgumentException::new);
     }
 
-    private void onResponse(ServerConnection connection, SipMessage message, Report report, double now) {
+    private void onResponse(ServerConnection connection, SipMessage message, ServerLoadReport report, double now) {
         if (!message.isFinalResponse()) {
             return;
         }
         if (message.cseqMethod().equals(SipMessage.OPTIONS)) {
             Probe probe = probes.remove(String.valueOf(message.callId()));
             if (probe != null && probe.requested) {
-                router.probed(now, server.id(), true, message.status() == SipMessage.OK, now - probe.sentAtMs, report);
+                router.probeCompleted(
+                        now, server.id(), true, message.status() == SipMessage.OK, now - probe.sentAtMs, report);
             }
             return;
         }
@@ -582,7 +584,7 @@
         call.answerContentType = message.headers().get("Content-Type");
         call.answeringServer = this;
         call.establishedConnection = connection;
-        router.stands(now, attempt.recordId, attempt.index, report);
+        router.callEstablished(now, attempt.recordId, attempt.index, report);
         call.answeringServer = null;
         if (call.establishedServer == null) {
             // The core took the answer for too late: nobody waits for this call any more.
@@ -611,22 +613,22 @@
                         || attempts.values().stream().anyMatch(attempt -> attempt.nodeCall == call));
     }
 
-    private static Result resultOf(int status) {
+    private static AttemptStatus resultOf(int status) {
         return switch (status) {
-            case 503 -> Result.FULL;
-            case 480 -> Result.NOT_SENT;
-            case 504 -> Result.RESET;
-            default -> Result.ERROR;
+            case 503 -> AttemptStatus.FULL;
+            case 480 -> AttemptStatus.NOT_SENT;
+            case 504 -> AttemptStatus.RESET;
+            default -> AttemptStatus.ERROR;
         };
     }
 
-    private static Reason reasonOf(SipMessage message) {
+    private static RejectReason reasonOf(SipMessage message) {
         return switch (String.valueOf(message.headers().get("X-Diagnosis"))) {
-            case "all_trunks_busy" -> Reason.NO_LINE;
-            case "via_said_no", "far_cpu_full" -> Reason.BEYOND_FULL;
-            case "cpu_full" -> Reason.PROCESSOR_FULL;
-            case "number_busy" -> Reason.NUMBER_BUSY;
-            default -> Reason.NONE;
+            case "all_trunks_busy" -> RejectReason.NO_LINE;
+            case "via_said_no", "far_cpu_full" -> RejectReason.BEYOND_FULL;
+            case "cpu_full" -> RejectReason.PROCESSOR_FULL;
+            case "number_busy" -> RejectReason.NUMBER_BUSY;
+            default -> RejectReason.NONE;
         };
     }
 
@@ -635,7 +637,7 @@
      * has the same Call-ID as the call's next attempt at this server. The two are distinguished by their connection
      * while the one of the established or outstanding attempt is open.
      */
-    private void onBye(ServerConnection connection, SipMessage message, Report report) {
+    private void onBye(ServerConnection connection, SipMessage message, ServerLoadReport report) {
         NodeCall call = context.callRegistry().get(String.valueOf(message.callId()));
         boolean normalClearing = String.valueOf(message.headers().get(SipHeaders.REASON))
                 .replace(" ", "")
@@ -662,13 +664,14 @@
                     && call.establishedConnection.isUsable()) {
                 return;
             }
-            context.callRegistry().onReleasedByServer(call, normalClearing ? Result.COMPLETED : Result.RESET, report);
+            context.callRegistry()
+                    .onReleasedByServer(call, normalClearing ? AttemptStatus.COMPLETED : AttemptStatus.RESET, report);
             closeIfUnused();
             return;
         }
         for (Attempt attempt : List.copyOf(attempts.values())) {
             if (attempt.nodeCall == call && attempt.connection == connection && attempt.sent) {
-                endAttempt(attempt, Result.RESET, Reason.NONE, report);
+                endAttempt(attempt, AttemptStatus.RESET, RejectReason.NONE, report);
             }
         }
     }
@@ -688,15 +691,15 @@
             if (requested) {
                 context.loop()
                         .timers()
-                        .set(
+                        .schedule(
                                 now + context.connectTimeoutMs(),
-                                firedAt -> router.probed(
+                                firedAt -> router.probeCompleted(
                                         firedAt,
                                         server.id(),
                                         true,
                                         !connections.isEmpty(),
                                         firedAt - now,
-                                        Report.NONE));
+                                        ServerLoadReport.NONE));
             }
             return;
         }
@@ -708,9 +711,9 @@
         String probeId = String.format("%016x", (long) server.id().hashCode() << 32 | probeNumber++ & 0xffffffffL);
         probes.put(probeId, new Probe(now, requested, connection));
         connection.send(SipMessage.request(SipMessage.OPTIONS, PROBE_URI, probeId, 1), null);
-        context.loop().timers().set(now + context.connectTimeoutMs(), firedAt -> {
+        context.loop().timers().schedule(now + context.connectTimeoutMs(), firedAt -> {
             if (probes.remove(probeId) != null && requested) {
-                router.probed(firedAt, server.id(), true, false, firedAt - now, Report.NONE);
+                router.probeCompleted(firedAt, server.id(), true, false, firedAt - now, ServerLoadReport.NONE);
             }
         });
     }
--- a/src/main/java/damsonseam/node/ServerEndpoints.java
+++ b/src/main/java/damsonseam/node/ServerEndpoints.java
@@ -1,15 +1,15 @@
 package damsonseam.node;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.core.CallRecord;
-import damsonseam.core.Pool;
-import damsonseam.core.Ports;
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
-import damsonseam.settings.ReportFields;
+import damsonseam.core.RouterPorts;
+import damsonseam.core.ServerList;
+import damsonseam.loop.CoreLoop;
+import damsonseam.settings.LoadReportParser;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -21,8 +21,9 @@
  * The signalling servers: one endpoint for each server that the server list has named and that is still in use.
  * Bounds the connections to all of them together. Used on the event loop only.
  */
-final class ServerEndpoints implements Ports.Trunks {
-    private static final Ports.NotSent UNREACHABLE = new Ports.NotSent(Result.UNREACHABLE, Reason.NONE);
+final class ServerEndpoints implements RouterPorts.ServerSignalling {
+    private static final RouterPorts.SendFailure UNREACHABLE =
+            new RouterPorts.SendFailure(AttemptStatus.UNREACHABLE, RejectReason.NONE);
     private static final double SWEEP_INTERVAL_MS = 250;
 
     /**
@@ -37,9 +38,9 @@
      * @param probesAllowed whether the settings allow probes
      */
     record EndpointContext(
-            Loop loop,
+            CoreLoop loop,
             CallRegistry callRegistry,
-            ReportFields reportFields,
+            LoadReportParser reportFields,
             double connectTimeoutMs,
             BooleanSupplier hasCapacity,
             SplittableRandom random,
@@ -58,9 +59,9 @@
      * @param probesAllowed whether the settings allow probes
      */
     ServerEndpoints(
-            Loop loop,
+            CoreLoop loop,
             CallRegistry callRegistry,
-            ReportFields reportFields,
+            LoadReportParser reportFields,
             double connectTimeoutMs,
             int maxConnections,
             long seed,
@@ -81,7 +82,7 @@
 
     void start(Router router) {
         this.router = router;
-        context.loop().timers().set(context.loop().now() + SWEEP_INTERVAL_MS, this::sweep);
+        context.loop().timers().schedule(context.loop().now() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     ServerEndpoint get(String id) {
@@ -116,9 +117,9 @@
     }
 
     /** Applies the server list: new servers get an endpoint, delisted ones lose theirs once their calls are over. */
-    void applyServerList(Pool pool) {
+    void applyServerList(ServerList pool) {
         Set<String> listedIds = new HashSet<>();
-        for (Pool.Server server : pool.servers()) {
+        for (ServerList.Server server : pool.servers()) {
             listedIds.add(server.id());
             ServerEndpoint endpoint = endpoints.get(server.id());
             if (endpoint == null) {
@@ -142,11 +143,12 @@
     private void sweep(double now) {
         endpoints.values().forEach(endpoint -> endpoint.sweep(now));
         endpoints.values().removeIf(ServerEndpoint::isObsolete);
-        context.loop().timers().set(now + SWEEP_INTERVAL_MS, this::sweep);
+        context.loop().timers().schedule(now + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     @Override
-    public Ports.NotSent setUp(double now, String server, long call, int attempt, double until, CallRecord record) {
+    public RouterPorts.SendFailure sendSetUp(
+            double now, String server, long call, int attempt, double until, CallRecord record) {
         ServerEndpoint endpoint = endpoints.get(server);
         NodeCall nodeCall = context.callRegistry().get(call);
         return endpoint != null && nodeCall != null && endpoint.setUp(nodeCall, call, attempt, until)
@@ -155,7 +157,7 @@
     }
 
     @Override
-    public double release(double now, String server, long call, int attempt, boolean timedOut) {
+    public double sendRelease(double now, String server, long call, int attempt, boolean timedOut) {
         ServerEndpoint endpoint = endpoints.get(server);
         NodeCall nodeCall = context.callRegistry().get(call);
         if (endpoint != null && nodeCall != null) {
@@ -165,19 +167,23 @@
     }
 
     @Override
-    public void probe(double now, String server) {
+    public void sendProbe(double now, String server) {
         ServerEndpoint endpoint = endpoints.get(server);
         if (endpoint != null) {
             endpoint.probe();
         } else {
-            context.loop().timers().set(now, firedAt -> router.probed(firedAt, server, true, false, 0, Report.NONE));
+            context.loop()
+                    .timers()
+                    .schedule(
+                            now,
+                            firedAt -> router.probeCompleted(firedAt, server, true, false, 0, ServerLoadReport.NONE));
         }
     }
 
     /** Returns whether a connection to each running server of the list has been established or has failed. */
     boolean isReady() {
-        return router.pool().servers().stream()
-                .filter(server -> server.state() == State.RUNNING)
+        return router.serverList().servers().stream()
+                .filter(server -> server.state() == ServerState.RUNNING)
                 .allMatch(server -> endpoints.containsKey(server.id())
                         && endpoints.get(server.id()).hasTriedToConnect());
     }
--- a/src/main/java/damsonseam/node/ServerListUpdate.java
+++ b/src/main/java/damsonseam/node/ServerListUpdate.java
@@ -1,7 +1,7 @@
 package damsonseam.node;
 
-import damsonseam.Front.State;
-import damsonseam.core.Pool;
+import damsonseam.RoutingPolicy.ServerState;
+import damsonseam.core.ServerList;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.OptionalDouble;
@@ -24,13 +24,13 @@
      * @param state whether it takes calls
      * @param upSince Unix time of a late start in milliseconds, else 0
      */
-    record Entry(String id, String address, int cell, State state, long upSince) {}
+    record Entry(String id, String address, int cell, ServerState state, long upSince) {}
 
     /** Converts the entries to the node's clock, which shows {@code nowMs} at the Unix time {@code unixMs}. */
-    List<Pool.Server> toServers(double nowMs, long unixMs) {
-        List<Pool.Server> servers = new ArrayList<>(entries.size());
+    List<ServerList.Server> toServers(double nowMs, long unixMs) {
+        List<ServerList.Server> servers = new ArrayList<>(entries.size());
         for (Entry entry : entries) {
-            servers.add(new Pool.Server(
+            servers.add(new ServerList.Server(
                     entry.id,
                     entry.cell,
                     entry.address,
--- a/src/main/java/damsonseam/node/Shutdown.java
+++ b/src/main/java/damsonseam/node/Shutdown.java
@@ -1,8 +1,8 @@
 package damsonseam.node;
 
-import damsonseam.Front.CallClass;
+import damsonseam.RoutingPolicy.CallClass;
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.loop.CoreLoop;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.slf4j.Logger;
@@ -29,7 +29,7 @@
 
     private static final double CHECK_INTERVAL_MS = 10;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final Router router;
     private final CallerListener callerListener;
     private final ServerEndpoints serverEndpoints;
@@ -40,7 +40,7 @@
     private double closingAtMs;
 
     Shutdown(
-            Loop loop,
+            CoreLoop loop,
             Router router,
             CallerListener callerListener,
             ServerEndpoints serverEndpoints,
@@ -74,7 +74,7 @@
             scheduleCheck(now);
         } else {
             // What has arrived at the sockets in the meantime is handled first.
-            loop.afterReads(() -> {
+            loop.runAfterReads(() -> {
                 if (elapsedMs >= giveUpAfterMs || isIdle(loop.now())) {
                     beginClosing(loop.now());
                 }
@@ -84,12 +84,12 @@
     }
 
     private void scheduleCheck(double now) {
-        loop.timers().set(now + CHECK_INTERVAL_MS, this::check);
+        loop.timers().schedule(now + CHECK_INTERVAL_MS, this::check);
     }
 
     /** Returns whether no answer or release is pending and no caller's message waits to be read. */
     private boolean isIdle(double now) {
-        return router.owed() == 0
+        return router.unansweredCalls() == 0
                 && pendingReleases.awaitingConfirmation() == 0
                 && callerListener.isAccepting()
                 && now - callerListener.lastActivityMs() > 2 * CHECK_INTERVAL_MS;
@@ -98,11 +98,11 @@
     private void beginClosing(double now) {
         closingAtMs = now;
         LOG.atInfo()
-                .addKeyValue("owed", router.owed())
+                .addKeyValue("owed", router.unansweredCalls())
                 .addKeyValue("releases", pendingReleases.size())
                 .addKeyValue("callers", callerListener.connectionCount())
                 .log("closing");
-        router.giveUpAll(now);
+        router.closeUnansweredCalls(now);
         // Before the callers: a BYE from now on is for the front node with which the server connects next.
         serverEndpoints.close();
         callerListener.finish();
--- a/src/main/java/damsonseam/ss7/TrunkGroup.java
+++ b/src/main/java/damsonseam/ss7/TrunkGroup.java
@@ -1,10 +1,10 @@
 package damsonseam.ss7;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.core.Circuits;
-import damsonseam.core.Timers;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.core.CircuitAllocator;
+import damsonseam.core.TimerWheel;
 import java.util.BitSet;
 import java.util.OptionalDouble;
 import org.agrona.collections.Long2ObjectHashMap;
@@ -27,17 +27,17 @@
         void send(Isup message);
 
         /** The attempt was answered. */
-        void stands(double now, long call, int attempt, Report report);
+        void stands(double now, long call, int attempt, ServerLoadReport report);
 
         /** The attempt, or the standing call, was ended by the far end or with the connection. */
         void ended(
                 double now,
                 long call,
                 int attempt,
-                Result result,
-                Reason reason,
+                AttemptStatus result,
+                RejectReason reason,
                 OptionalDouble toldWait,
-                Report report);
+                ServerLoadReport report);
 
         /** The far end has the release of an attempt: it completed it, released too, or is gone. */
         void released(double now, long call, int attempt);
@@ -68,7 +68,7 @@
         final long call;
         final int attempt;
         State state = State.SETTING_UP;
-        Timers.Timer timer;
+        TimerWheel.Timer timer;
         double since;
         int cause;
 
@@ -79,8 +79,8 @@
         }
     }
 
-    private final Circuits circuits;
-    private final Timers timers;
+    private final CircuitAllocator circuits;
+    private final TimerWheel timers;
     private final Times times;
     private final Output out;
     private final int pointCode;
@@ -96,7 +96,7 @@
     private long dualSeizures;
 
     /** A group with all circuits idle; {@code pointCode} is this end's. */
-    public TrunkGroup(Circuits circuits, Timers timers, Times times, int pointCode, Output out) {
+    public TrunkGroup(CircuitAllocator circuits, TimerWheel timers, Times times, int pointCode, Output out) {
         this.circuits = circuits;
         this.timers = timers;
         this.times = times;
@@ -145,7 +145,7 @@
     private void await(Busy b, double now) {
         timers.cancel(b.timer);
         double after = b.state == State.RELEASING ? times.t1() : times.t17();
-        b.timer = timers.set(now + after, at -> {
+        b.timer = timers.schedule(now + after, at -> {
             b.timer = null;
             if (!connected || busy[b.circuit] != b) {
                 return;
@@ -176,7 +176,7 @@
             if (b != null) {
                 b.state = State.RESETTING;
                 resetsOut++;
-                circuits.reset(c);
+                circuits.startReset(c);
                 out.send(Isup.of(c, Isup.Type.RSC));
                 await(b, now);
             }
@@ -201,7 +201,14 @@
             }
             b.state = State.RELEASING;
             if (told && byCall.remove(b.call) != null) {
-                out.ended(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
+                out.ended(
+                        now,
+                        b.call,
+                        b.attempt,
+                        AttemptStatus.RESET,
+                        RejectReason.NONE,
+                        OptionalDouble.empty(),
+                        ServerLoadReport.NONE);
             }
         }
     }
@@ -211,7 +218,7 @@
     /** A message came; the unreasonable ones are handled as Q.764 2.9.5 has it. */
     public void received(double now, Isup message) {
         int c = message.circuit();
-        if (!circuits.has(c)) {
+        if (!circuits.contains(c)) {
             confused++;
             return;
         }
@@ -227,11 +234,11 @@
             }
             case GRS -> groupReset(message, now);
             case BLO -> {
-                circuits.block(c, true);
+                circuits.setBlocked(c, true);
                 out.send(Isup.of(c, Isup.Type.BLA));
             }
             case UBL -> {
-                circuits.block(c, false);
+                circuits.setBlocked(c, false);
                 out.send(Isup.of(c, Isup.Type.UBA));
             }
             case IAM -> incoming(b, c, now);
@@ -242,7 +249,7 @@
     /** A message that could not be read: confusion is told where the circuit is known (Q.764 2.9.5.3). */
     public void unreadable(int circuit, int cause) {
         confused++;
-        if (connected && circuits.has(circuit)) {
+        if (connected && circuits.contains(circuit)) {
             out.send(IsupMessages.confusion(circuit, cause));
         }
     }
@@ -256,7 +263,7 @@
     }
 
     private void resetIdle(int c, double now) {
-        circuits.takeIncoming(c);
+        circuits.seizeIncoming(c);
         busy[c] = new Busy(c, -1, -1);
         busy[c].state = State.RELEASING;
         toReset.set(c);
@@ -310,22 +317,22 @@
         return IsupMessages.congestionLevel(message) > 0 && !said ? Isup.SWITCH_CONGESTION : cause;
     }
 
-    private static Result result(int cause, boolean answered) {
+    private static AttemptStatus result(int cause, boolean answered) {
         if (answered) {
-            return cause == Isup.NORMAL_CLEARING ? Result.COMPLETED : Result.RESET;
+            return cause == Isup.NORMAL_CLEARING ? AttemptStatus.COMPLETED : AttemptStatus.RESET;
         }
-        return cause == Isup.NO_CIRCUIT || cause == Isup.SWITCH_CONGESTION ? Result.FULL : Result.ERROR;
+        return cause == Isup.NO_CIRCUIT || cause == Isup.SWITCH_CONGESTION ? AttemptStatus.FULL : AttemptStatus.ERROR;
     }
 
-    private static Reason reason(int cause, boolean answered) {
+    private static RejectReason reason(int cause, boolean answered) {
         if (answered) {
-            return Reason.NONE;
+            return RejectReason.NONE;
         }
         return switch (cause) {
-            case Isup.NO_CIRCUIT -> Reason.NO_LINE;
-            case Isup.SWITCH_CONGESTION -> Reason.PROCESSOR_FULL;
-            case Isup.USER_BUSY -> Reason.NUMBER_BUSY;
-            default -> Reason.NONE;
+            case Isup.NO_CIRCUIT -> RejectReason.NO_LINE;
+            case Isup.SWITCH_CONGESTION -> RejectReason.PROCESSOR_FULL;
+            case Isup.USER_BUSY -> RejectReason.NUMBER_BUSY;
+            default -> RejectReason.NONE;
         };
     }
 
@@ -343,7 +350,14 @@
         b.state = State.RELEASING;
         toReset.set(c);
         resetNext(now);
-        out.ended(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
+        out.ended(
+                now,
+                b.call,
+                b.attempt,
+                AttemptStatus.RESET,
+                RejectReason.NONE,
+                OptionalDouble.empty(),
+                ServerLoadReport.NONE);
     }
 
     private void idle(Busy b, double now) {
@@ -353,14 +367,14 @@
         if (b.state == State.RESETTING) {
             resetsOut = Math.max(0, resetsOut - 1);
         }
-        circuits.idle(b.circuit);
+        circuits.setIdle(b.circuit);
         if (connected) {
             resetNext(now);
         }
     }
 
     private void farReset(Busy b, int c, double now) {
-        circuits.block(c, false);
+        circuits.setBlocked(c, false);
         if (b == null) {
             return;
         }
@@ -368,7 +382,14 @@
         idle(b, now);
         out.released(now, b.call, b.attempt);
         if (told) {
-            out.ended(now, b.call, b.attempt, Result.RESET, Reason.NONE, OptionalDouble.empty(), Report.NONE);
+            out.ended(
+                    now,
+                    b.call,
+                    b.attempt,
+                    AttemptStatus.RESET,
+                    RejectReason.NONE,
+                    OptionalDouble.empty(),
+                    ServerLoadReport.NONE);
         }
     }
 
@@ -380,7 +401,7 @@
             return;
         }
         int range = Math.min(value[0] & 0xff, RESET_WINDOW - 1);
-        for (int c = message.circuit(); c <= message.circuit() + range && circuits.has(c); c++) {
+        for (int c = message.circuit(); c <= message.circuit() + range && circuits.contains(c); c++) {
             farReset(busy[c], c, now);
         }
         byte[] status = new byte[1 + (range + 8) / 8];
@@ -392,17 +413,24 @@
     private void incoming(Busy b, int c, double now) {
         if (b != null && b.state == State.SETTING_UP) {
             dualSeizures++;
-            if (circuits.controls(c)) {
+            if (circuits.isControlled(c)) {
                 return;
             }
             // The other end controls this circuit: our attempt never ran, theirs is turned away.
             byCall.remove(b.call);
             startRelease(b, Isup.NO_CIRCUIT, now);
-            out.ended(now, b.call, b.attempt, Result.FULL, Reason.NO_LINE, OptionalDouble.empty(), Report.NONE);
+            out.ended(
+                    now,
+                    b.call,
+                    b.attempt,
+                    AttemptStatus.FULL,
+                    RejectReason.NO_LINE,
+                    OptionalDouble.empty(),
+                    ServerLoadReport.NONE);
             return;
         }
         if (b == null) {
-            circuits.takeIncoming(c);
+            circuits.seizeIncoming(c);
             Busy refused = new Busy(c, -1, -1);
             busy[c] = refused;
             startRelease(refused, Isup.NO_CIRCUIT, now);
@@ -411,7 +439,7 @@
 
     /** Circuits on which a set-up could go out now. */
     public int free() {
-        return circuits.free();
+        return circuits.idleCount();
     }
 
     /** Circuits that are not idle, whatever for. */
--- a/src/test/java/damsonseam/node/CallerAbandonsCallTest.java
+++ b/src/test/java/damsonseam/node/CallerAbandonsCallTest.java
@@ -150,7 +150,7 @@
                 caller.send(fixture.invite());
                 caller.close();
                 fixture.awaitEmpty();
-                assertEquals(0, fixture.node.counters().stood);
+                assertEquals(0, fixture.node.counters().established);
             }
             for (Socket filler : fillers) {
                 filler.close();
--- a/src/test/java/damsonseam/node/CoordinatorRaceTest.java
+++ b/src/test/java/damsonseam/node/CoordinatorRaceTest.java
@@ -63,7 +63,7 @@
                 fixture.node
                         .loop()
                         .eventLoop()
-                        .submit(() -> fixture.node.coordinator().fetch())
+                        .submit(() -> fixture.node.coordinator().requestServerList())
                         .get();
             }
             assertNotNull(fixture.acceptCoordinator(), "the node must ask again");
--- a/src/test/java/damsonseam/node/NodeServerTest.java
+++ b/src/test/java/damsonseam/node/NodeServerTest.java
@@ -639,7 +639,7 @@
                 assertTrue(caller.receive().status() >= 400);
             }
             Awaitility.await().until(() -> fixture.node.openCalls() == 0);
-            assertFalse(fixture.node.counters().taken < 300);
+            assertFalse(fixture.node.counters().received < 300);
         }
     }
 
