--- a/src/main/java/damsonseam/adapter/WireAdapter.java
+++ b/src/main/java/damsonseam/adapter/WireAdapter.java
@@ -157,7 +157,7 @@
         long seed = line.readLong("the seed");
         PlatformSettings settings = PlatformSettings.parse(line.readRest(), line::formatError);
         RoutingPolicy policy =
-                new CongestionControlPolicy(settings.moduleSettings(seed), new ReplyWriter(reply, instanceId));
+                new CongestionControlPolicy(settings.policySettings(seed), new ReplyWriter(reply, instanceId));
         instances.put(instanceId, new Instance(policy, new LoadReportParser(settings.reportFields(), ',')));
     }
 
--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -85,7 +85,7 @@
         /** Checks. */
         public EnumSettings {
             Preconditions.requirePresent(listen, "listen");
-            E164Name.suffix(Preconditions.requirePresent(suffix, "suffix"));
+            E164Name.parseSuffix(Preconditions.requirePresent(suffix, "suffix"));
             keepAnswers = Preconditions.orDefault(keepAnswers, TimeSpan.ms(3_000));
             wayBack = Preconditions.orDefault(wayBack, TimeSpan.ms(50));
         }
--- a/src/main/java/damsonseam/front/ResolverSockets.java
+++ b/src/main/java/damsonseam/front/ResolverSockets.java
@@ -80,17 +80,17 @@
     }
 
     private void deliverAnswer(int authority, int socket, byte[] message) {
-        resolver.answer(loop.now(), authority, socket, message);
+        resolver.onResponse(loop.now(), authority, socket, message);
         loop.scheduleBatchEnd();
     }
 
     @Override
-    public void udp(int authority, int socket, byte[] question) {
+    public void sendUdp(int authority, int socket, byte[] question) {
         sockets[socket].writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(question), authorities.get(authority)));
     }
 
     @Override
-    public void tcp(int authority, byte[] question) {
+    public void sendTcp(int authority, byte[] question) {
         if (openStreams >= MAX_STREAMS) {
             return;
         }
@@ -116,7 +116,7 @@
     }
 
     @Override
-    public void lookedUp(double now, long call, LookupResult candidates) {
+    public void onLookupComplete(double now, long call, LookupResult candidates) {
         router.lookupCompleted(now, call, candidates);
         loop.scheduleBatchEnd();
     }
@@ -144,7 +144,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            deliverAnswer(authority, Resolver.STREAM, ByteBufUtil.getBytes(frame));
+            deliverAnswer(authority, Resolver.TCP_SOCKET, ByteBufUtil.getBytes(frame));
             ctx.close();
         }
 
--- a/src/main/java/damsonseam/front/SelfMonitor.java
+++ b/src/main/java/damsonseam/front/SelfMonitor.java
@@ -93,12 +93,12 @@
         previousLoopCpuMs = sample.loopCpuMs();
         previousTaken = taken;
         cacheShare = memoryWatch.cacheShare(now);
-        cache.room(cacheShare);
+        cache.limitCapacity(cacheShare);
         resourcePressure = Math.max(
                 memoryWatch.pressure(ranks.count()),
                 tables.pressure(
                         router.openCalls() / (double) settings.limits().calls(),
-                        resolver.out() / (double) settings.limits().lookups(),
+                        resolver.pendingLookups() / (double) settings.limits().lookups(),
                         sample.openFileShare()));
         if (Double.isNaN(nextDiagnosisAt)) {
             nextDiagnosisAt = now + DIAGNOSIS_INTERVAL_MS;
--- a/src/main/java/damsonseam/overload/HeldCallLimit.java
+++ b/src/main/java/damsonseam/overload/HeldCallLimit.java
@@ -2,7 +2,7 @@
 
 /**
  * Adaptive limit of the unanswered calls that the front can hold without its own work on them delaying it. The time
- * that the decision module takes for a batch grows with the calls it holds, at a rate that depends on the machine, the
+ * that the routing policy takes for a batch grows with the calls it holds, at a rate that depends on the machine, the
  * servers and the current faults, so the limit is learned. A batch above the target time lowers the limit at once, in
  * proportion. The limit recovers slowly while the number of held calls approaches it and batches remain short. Not
  * thread-safe.
@@ -17,7 +17,10 @@
 
     private static final double MIN_LIMIT = 1_000;
     private static final double GROWTH_PER_SECOND = 0.5;
-    /** Lower bound of a single decrease: one batch may be long for other reasons, such as a pause or a cold start. */
+    /**
+     * Lower bound of the factor of a single decrease: one batch may be long for other reasons, such as a pause or a
+     * cold start.
+     */
     private static final double MIN_DECREASE_FACTOR = 0.7;
     /** Share of the limit that must be in use for the limit to grow. */
     private static final double GROWTH_USAGE = 0.7;
--- a/src/test/java/damsonseam/sim/FrontEdgeCasesTest.java
+++ b/src/test/java/damsonseam/sim/FrontEdgeCasesTest.java
@@ -9,7 +9,7 @@
 import damsonseam.sim.SimulatedFront.Reply;
 import damsonseam.sim.SimulatedFront.SentMessage;
 import damsonseam.sim.SimulatedFront.ServerBehaviour;
-import damsonseam.ss7.Isup;
+import damsonseam.ss7.IsupMessage;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -143,10 +143,10 @@
         front.run(3_100);
         assertEquals("failed", onlyReply());
         assertEquals(0, front.router().openCalls());
-        assertEquals(1, front.trunkGroup("s0").busy());
+        assertEquals(1, front.trunkGroup("s0").busyCircuits());
         front.losesReleaseCompletes = false;
         front.run(15_100);
-        assertEquals(0, front.trunkGroup("s0").busy(), "circuits busy after the repeated release");
+        assertEquals(0, front.trunkGroup("s0").busyCircuits(), "circuits busy after the repeated release");
     }
 
     @Test
@@ -154,13 +154,13 @@
         front.start("s0");
         front.sendQuery("desk", 1, NUMBER_WITH_FIRST_CHOICE_S0);
         front.run(50);
-        assertEquals(1, front.trunkGroup("s0").busy());
+        assertEquals(1, front.trunkGroup("s0").busyCircuits());
         front.receive(
                 "s0",
                 damsonseam.ss7.IsupMessages.release(
-                        front.setUps("s0").get(0).message().circuit(), Isup.NORMAL_CLEARING));
+                        front.setUps("s0").get(0).message().circuit(), IsupMessage.NORMAL_CLEARING));
         front.run(10);
-        assertEquals(0, front.trunkGroup("s0").busy());
+        assertEquals(0, front.trunkGroup("s0").busyCircuits());
         assertEquals(0, front.router().openCalls());
         assertEquals("established s0", onlyReply());
     }
@@ -177,9 +177,9 @@
         assertEquals(
                 1,
                 front.sent.stream()
-                        .filter(s -> s.message().type() == Isup.Type.REL)
+                        .filter(s -> s.message().type() == IsupMessage.Type.REL)
                         .count());
-        front.receive("s0", Isup.of(setUp.message().circuit(), Isup.Type.ANM));
+        front.receive("s0", IsupMessage.of(setUp.message().circuit(), IsupMessage.Type.ANM));
         front.run(500);
         assertEquals(1, front.replies.size());
     }
@@ -250,7 +250,8 @@
         double pauseStart = front.now;
         front.schedule(
                 1_950,
-                () -> front.receive(early.serverId(), Isup.of(early.message().circuit(), Isup.Type.ANM)));
+                () -> front.receive(
+                        early.serverId(), IsupMessage.of(early.message().circuit(), IsupMessage.Type.ANM)));
         for (int i = 0; i < 50; i++) {
             int id = 100 + i;
             front.schedule(i * 39, () -> front.sendQuery("late", id, String.format("598211%08d", id)));
@@ -274,12 +275,14 @@
         front.sendQuery("early", 1, HIGH_WORTH_NUMBER);
         front.run(1_000);
         SentMessage setUp = front.setUps(null).get(0);
-        front.schedule(1_900, () -> front.receive("s0", Isup.of(setUp.message().circuit(), Isup.Type.ANM)));
+        front.schedule(
+                1_900, () -> front.receive("s0", IsupMessage.of(setUp.message().circuit(), IsupMessage.Type.ANM)));
         front.pause(2_000);
         front.run(100);
         assertEquals("failed", onlyReply());
         assertEquals(
-                Isup.Type.REL, front.sent.get(front.sent.size() - 1).message().type());
+                IsupMessage.Type.REL,
+                front.sent.get(front.sent.size() - 1).message().type());
     }
 
     /** Two thousand calls in one batch must each get one final answer in time. */
@@ -398,9 +401,9 @@
         Map<String, Double> releasedAt = new HashMap<>();
         double minGap = Double.MAX_VALUE;
         for (SentMessage s : front.sent) {
-            if (s.message().type() == Isup.Type.REL && s.serverId().equals("s0")) {
+            if (s.message().type() == IsupMessage.Type.REL && s.serverId().equals("s0")) {
                 releasedAt.put(numbers.get(s.message().circuit()), s.at());
-            } else if (s.message().type() == Isup.Type.IAM) {
+            } else if (s.message().type() == IsupMessage.Type.IAM) {
                 if (s.serverId().equals("s0")) {
                     numbers.put(s.message().circuit(), SimulatedFront.calledNumber(s));
                 }
--- a/src/test/java/damsonseam/sim/SimulatedFront.java
+++ b/src/test/java/damsonseam/sim/SimulatedFront.java
@@ -18,19 +18,19 @@
 import damsonseam.core.RouterSettings;
 import damsonseam.core.ServerList;
 import damsonseam.core.TimerWheel;
-import damsonseam.dns.Authorities;
+import damsonseam.dns.AuthoritySelector;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.DnsFormatException;
 import damsonseam.dns.E164Name;
-import damsonseam.dns.EnumReplies;
+import damsonseam.dns.EnumResponses;
 import damsonseam.dns.EnumService;
 import damsonseam.dns.LookupCache;
 import damsonseam.dns.Resolver;
-import damsonseam.dns.Transactions;
-import damsonseam.ss7.Digits;
-import damsonseam.ss7.Isup;
+import damsonseam.dns.TransactionTable;
+import damsonseam.ss7.CalledPartyNumber;
+import damsonseam.ss7.IsupMessage;
 import damsonseam.ss7.IsupMessages;
-import damsonseam.ss7.SignallingException;
+import damsonseam.ss7.SignallingProtocolException;
 import damsonseam.ss7.TrunkGroup;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -57,7 +57,7 @@
  */
 public final class SimulatedFront implements RouterPorts.ServerSignalling, RouterPorts.Directory {
     /** DNS suffix of the numbers. */
-    public static final Name SUFFIX = E164Name.suffix("e164.example.org");
+    public static final Name SUFFIX = E164Name.parseSuffix("e164.example.org");
     /** Time for which the front waits for a release complete message, in milliseconds. */
     public static final double RELEASE_WAIT_MS = 100;
 
@@ -69,7 +69,7 @@
     }
 
     /** A message sent to a calculator. */
-    public record SentMessage(double at, String serverId, Isup message) {}
+    public record SentMessage(double at, String serverId, IsupMessage message) {}
 
     /** An answer sent to a caller. */
     public record Reply(double at, Object caller, Message message, byte[] bytes) {}
@@ -124,7 +124,7 @@
                 new CallTable(maxCalls, 1),
                 timers,
                 (call, number, deadline) -> {
-                    resolver.clock(now);
+                    resolver.advanceClock(now);
                     resolver.lookUp(call, number, deadline);
                 },
                 this,
@@ -133,33 +133,34 @@
         resolver = new Resolver(
                 SUFFIX,
                 new LookupCache(1_000, 60_000),
-                new Authorities(1),
+                new AuthoritySelector(1),
                 timers,
                 5,
                 new Resolver.Limits(4, 6, 50_000, 300),
                 new Resolver.Output() {
                     @Override
-                    public void udp(int authority, int socket, byte[] question) {
+                    public void sendUdp(int authority, int socket, byte[] question) {
                         if (dnsDelayMs >= 0) {
                             schedule(
                                     dnsDelayMs,
-                                    () -> resolver.answer(now, authority, socket, authorityAnswer(question)));
+                                    () -> resolver.onResponse(now, authority, socket, authorityAnswer(question)));
                         }
                     }
 
                     @Override
-                    public void tcp(int authority, byte[] question) {
+                    public void sendTcp(int authority, byte[] question) {
                         schedule(
                                 dnsDelayMs,
-                                () -> resolver.answer(now, authority, Resolver.STREAM, authorityAnswer(question)));
+                                () -> resolver.onResponse(
+                                        now, authority, Resolver.TCP_SOCKET, authorityAnswer(question)));
                     }
 
                     @Override
-                    public void lookedUp(double at, long call, LookupResult candidates) {
+                    public void onLookupComplete(double at, long call, LookupResult candidates) {
                         router.lookupCompleted(at, call, candidates);
                     }
                 });
-        service = new EnumService(SUFFIX, settings.numberPlan(), router, new Transactions(200_000, 3_000), 50);
+        service = new EnumService(SUFFIX, settings.numberPlan(), router, new TransactionTable(200_000, 3_000), 50);
         List<ServerList.Server> serverList = new ArrayList<>();
         for (String serverId : servers) {
             serverList.add(server(serverId, serverList.size(), ServerState.RUNNING, OptionalDouble.empty()));
@@ -197,20 +198,20 @@
 
     private TrunkGroup createTrunkGroup(String serverId) {
         TrunkGroup group = new TrunkGroup(
-                new CircuitAllocator(4_000, true), timers, TrunkGroup.Times.Q764, 1, new TrunkGroup.Output() {
+                new CircuitAllocator(4_000, true), timers, TrunkGroup.TimerValues.Q764, 1, new TrunkGroup.Output() {
                     @Override
-                    public void send(Isup message) {
+                    public void send(IsupMessage message) {
                         sent.add(new SentMessage(now, serverId, message));
                         respond(serverId, message);
                     }
 
                     @Override
-                    public void stands(double at, long call, int attempt, ServerLoadReport report) {
+                    public void onAnswered(double at, long call, int attempt, ServerLoadReport report) {
                         router.callEstablished(at, call, attempt, report);
                     }
 
                     @Override
-                    public void ended(
+                    public void onOutcome(
                             double at,
                             long call,
                             int attempt,
@@ -222,23 +223,26 @@
                     }
 
                     @Override
-                    public void released(double at, long call, int attempt) {
+                    public void onReleaseComplete(double at, long call, int attempt) {
                         router.releaseConfirmed(at, call, attempt);
                     }
                 });
-        group.connectionUp(now);
+        group.onConnectionUp(now);
         return group;
     }
 
-    private void respond(String serverId, Isup message) {
+    private void respond(String serverId, IsupMessage message) {
         ServerBehaviour behaviour = behaviours.getOrDefault(serverId, ServerBehaviour.ANSWER);
         int circuit = message.circuit();
-        if (message.type() == Isup.Type.IAM && behaviour == ServerBehaviour.ANSWER) {
-            schedule(answerDelayMs, () -> receive(serverId, Isup.of(circuit, Isup.Type.ANM)));
-        } else if (message.type() == Isup.Type.IAM && behaviour == ServerBehaviour.REJECT) {
-            schedule(answerDelayMs, () -> receive(serverId, IsupMessages.release(circuit, Isup.SWITCH_CONGESTION)));
-        } else if ((message.type() == Isup.Type.REL || message.type() == Isup.Type.RSC) && !losesReleaseCompletes) {
-            schedule(releaseCompleteDelayMs, () -> receive(serverId, Isup.of(circuit, Isup.Type.RLC)));
+        if (message.type() == IsupMessage.Type.IAM && behaviour == ServerBehaviour.ANSWER) {
+            schedule(answerDelayMs, () -> receive(serverId, IsupMessage.of(circuit, IsupMessage.Type.ANM)));
+        } else if (message.type() == IsupMessage.Type.IAM && behaviour == ServerBehaviour.REJECT) {
+            schedule(
+                    answerDelayMs,
+                    () -> receive(serverId, IsupMessages.release(circuit, IsupMessage.SWITCHING_EQUIPMENT_CONGESTION)));
+        } else if ((message.type() == IsupMessage.Type.REL || message.type() == IsupMessage.Type.RSC)
+                && !losesReleaseCompletes) {
+            schedule(releaseCompleteDelayMs, () -> receive(serverId, IsupMessage.of(circuit, IsupMessage.Type.RLC)));
         }
     }
 
@@ -250,27 +254,28 @@
     }
 
     /** Receives a message from a calculator. */
-    public void receive(String serverId, Isup message) {
-        groups.get(serverId).received(now, message);
+    public void receive(String serverId, IsupMessage message) {
+        groups.get(serverId).onMessage(now, message);
     }
 
     /** Sends a caller's query for a number. */
     public void sendQuery(Object source, int id, String number) {
         Message query = new Message(id);
-        query.addRecord(Record.newRecord(E164Name.of(number, SUFFIX), Type.NAPTR, DClass.IN), Section.QUESTION);
-        query.addRecord(new OPTRecord(DnsCodec.SAFE_UDP, 0, 0), Section.ADDITIONAL);
+        query.addRecord(Record.newRecord(E164Name.toName(number, SUFFIX), Type.NAPTR, DClass.IN), Section.QUESTION);
+        query.addRecord(new OPTRecord(DnsCodec.MAX_UDP_RESPONSE_BYTES, 0, 0), Section.ADDITIONAL);
         sendBytes(source, query.toWire());
     }
 
     /** Sends a caller's datagram. */
     public void sendBytes(Object source, byte[] bytes) {
-        service.question(now, source, false, router.maxReadAge(now), bytes, EnumService.Gate.OPEN, answer -> {
-            try {
-                replies.add(new Reply(now, source, DnsCodec.decode(answer), answer));
-            } catch (DnsFormatException e) {
-                throw new AssertionError("the front sent a malformed DNS message", e);
-            }
-        });
+        service.handleQuery(
+                now, source, false, router.maxReadAge(now), bytes, EnumService.AdmissionControl.ADMIT_ALL, answer -> {
+                    try {
+                        replies.add(new Reply(now, source, DnsCodec.decode(answer), answer));
+                    } catch (DnsFormatException e) {
+                        throw new AssertionError("the front sent a malformed DNS message", e);
+                    }
+                });
     }
 
     /** Sends a server-list update of one server. */
@@ -281,7 +286,7 @@
     /** Drops the connection to a calculator, which is not restored. */
     public void disconnect(String serverId) {
         unreachableServers.add(serverId);
-        groups.get(serverId).connectionLost(now);
+        groups.get(serverId).onConnectionLost(now);
     }
 
     /** Advances the clock with one event-loop iteration per millisecond. */
@@ -306,7 +311,7 @@
             lastTickAt = now;
             router.onTick(now);
         }
-        resolver.deliver(now);
+        resolver.deliverKnownResults(now);
         router.endBatch(now);
     }
 
@@ -324,8 +329,8 @@
         if (opt != null) {
             for (var option : opt.getOptions(15)) {
                 int code = ((ExtendedErrorCodeOption) option).getErrorCode();
-                if (code == EnumReplies.EDE_REFUSED || code == EnumReplies.EDE_FAILED) {
-                    return code == EnumReplies.EDE_REFUSED ? "refused" : "failed";
+                if (code == EnumResponses.EDE_REFUSED || code == EnumResponses.EDE_FAILED) {
+                    return code == EnumResponses.EDE_REFUSED ? "refused" : "failed";
                 }
             }
         }
@@ -335,7 +340,7 @@
     /** Returns the set-ups sent to one server, or to all if it is null. */
     public List<SentMessage> setUps(String serverId) {
         return sent.stream()
-                .filter(settings -> settings.message().type() == Isup.Type.IAM
+                .filter(settings -> settings.message().type() == IsupMessage.Type.IAM
                         && (serverId == null || settings.serverId().equals(serverId)))
                 .toList();
     }
@@ -343,8 +348,8 @@
     /** Returns the called number of a set-up. */
     public static String calledNumber(SentMessage setUp) {
         try {
-            return Digits.decode(setUp.message().value(Isup.CALLED_NUMBER));
-        } catch (SignallingException e) {
+            return CalledPartyNumber.decode(setUp.message().parameterValue(IsupMessage.CALLED_PARTY_NUMBER));
+        } catch (SignallingProtocolException e) {
             throw new AssertionError(e);
         }
     }
@@ -368,7 +373,7 @@
             reply.getHeader().setFlag(Flags.QR);
             reply.getHeader().setFlag(Flags.AA);
             reply.addRecord(query.getQuestion(), Section.QUESTION);
-            int firstChoice = E164Name.number(name, SUFFIX).charAt(5) - '0';
+            int firstChoice = E164Name.toNumber(name, SUFFIX).charAt(5) - '0';
             for (int i = 0; i < groups.size(); i++) {
                 String host = "s" + (firstChoice + i) % groups.size();
                 reply.addRecord(
@@ -395,7 +400,12 @@
 
     @Override
     public double sendRelease(double at, String serverId, long call, int attempt, boolean timedOut) {
-        groups.get(serverId).release(at, call, attempt, timedOut ? Isup.TIMER_EXPIRED : Isup.NORMAL_CLEARING);
+        groups.get(serverId)
+                .release(
+                        at,
+                        call,
+                        attempt,
+                        timedOut ? IsupMessage.RECOVERY_ON_TIMER_EXPIRY : IsupMessage.NORMAL_CLEARING);
         return now;
     }
 
