--- a/src/main/java/damsonseam/CongestionControlPolicy.java
+++ b/src/main/java/damsonseam/CongestionControlPolicy.java
@@ -104,7 +104,7 @@
     private final double warmUpTime;
     private final double waitBudget;
     private final int maxAttempts;
-    private final int fronts;
+    private final int frontCount;
     private final boolean mayCancel;
     private final boolean mayProbe;
     /** Distinct worths that a call can still earn, in ascending order. A call's rank is an index of this array. */
@@ -134,7 +134,7 @@
     private final TreeSet<PendingCall> deferredByReleaseTime = new TreeSet<>(
             Comparator.comparingDouble((PendingCall c) -> c.notBefore).thenComparingLong(c -> c.id));
     /** Cache of usable servers by class and allowed servers; each server-list update clears it. */
-    private final Map<Object, List<Server>> usableServers = new HashMap<>();
+    private final Map<Object, List<Server>> usableServersCache = new HashMap<>();
     /** Whether the last choice skipped a server that accepts calls but would answer after the deadline. */
     private boolean skippedForDeadline;
     /** Dialled numbers whose lines are all busy, with the time until which this is assumed. */
@@ -297,7 +297,7 @@
                 Math.max(0.05, Math.min(1, settings.coldCapacityShare().orElse(0.25)));
         warmUpTime = Math.max(0, settings.warmUpTime().orElse(20_000));
         maxAttempts = Math.max(1, settings.maxAttempts().orElse(1));
-        fronts = Math.max(1, settings.fronts().orElse(1));
+        frontCount = Math.max(1, settings.fronts().orElse(1));
         mayCancel = settings.mayCancel().orElse(false);
         mayProbe = settings.mayProbe().orElse(false);
         double minAim = Double.POSITIVE_INFINITY;
@@ -327,7 +327,7 @@
     @Override
     public void onServerListUpdate(double now, boolean full, List<ServerEntry> entries) {
         detectPause(now);
-        usableServers.clear();
+        usableServersCache.clear();
         if (full) {
             TreeSet<String> listedIds = new TreeSet<>();
             entries.forEach(entry -> listedIds.add(entry.id()));
@@ -426,7 +426,7 @@
                 || call.inTransit;
         if (giveUp) {
             pendingCalls.remove(call.id);
-            markUnserved(call);
+            rememberUnserved(call);
             actions.failCall(call.id);
         } else {
             unrankedCalls.add(call);
@@ -439,7 +439,7 @@
         PendingCall call = pendingCalls.remove(callId);
         if (call != null) {
             stopHolding(call);
-            markUnserved(call);
+            rememberUnserved(call);
         }
     }
 
@@ -649,14 +649,14 @@
                     server.peakLinesInUse * Math.exp(Math.min(0, server.linesReportedAt - now) / RATE_WINDOW_MS);
             server.peakLinesInUse = Math.max(server.lines - server.freeLines, decayedPeak);
             server.linesReportInterval = Math.min(badNewsLifetime(), now - server.linesReportedAt);
-            server.lineThreshold = random.nextDouble() * fronts;
+            server.lineThreshold = random.nextDouble() * frontCount;
             server.linesReportedAt = now;
         }
         // Each queued set-up takes one fair interval of all fronts together, longer if the server is throttled.
         double perSetUp = Math.min(1, report.utilization().orElse(1))
                 * fairInterval(server)
                 * Math.max(1, server.throttle)
-                / fronts;
+                / frontCount;
         double wait = report.processorWait().orElse(report.queueLength().orElse(0) * perSetUp);
         boolean waitReported =
                 report.processorWait().isPresent() || report.queueLength().isPresent();
@@ -687,11 +687,12 @@
                 : server.freeLines == Double.POSITIVE_INFINITY) {
             return true;
         }
-        double reserved = (worths.length - 1 - rank) * RESERVED_LINES_DEVIATIONS * Math.sqrt(server.lines);
+        double reservedLines = (worths.length - 1 - rank) * RESERVED_LINES_DEVIATIONS * Math.sqrt(server.lines);
         double expectedReleases = completedCalls > 0
                 ? server.peakLinesInUse * server.linesReportInterval / (completedCallTime / completedCalls)
                 : 0;
-        return server.freeLines > reserved && server.freeLines - reserved + expectedReleases > server.lineThreshold;
+        return server.freeLines > reservedLines
+                && server.freeLines - reservedLines + expectedReleases > server.lineThreshold;
     }
 
     /** Records what the outcome of an attempt shows about its server. */
@@ -778,9 +779,10 @@
 
     /** Returns the onset level of a rank; that of rank + 1 is the discard level of the rank. */
     private double onset(Server server, int rank) {
-        double first = server.meanWait + ONSET_DEVIATIONS * Math.sqrt(server.waitVariance);
-        first = Math.max(MIN_FIRST_ONSET_SHARE * waitBudget, Math.min(MAX_FIRST_ONSET_SHARE * waitBudget, first));
-        return first + (waitBudget - first) * rank / worths.length;
+        double firstOnset = server.meanWait + ONSET_DEVIATIONS * Math.sqrt(server.waitVariance);
+        firstOnset =
+                Math.max(MIN_FIRST_ONSET_SHARE * waitBudget, Math.min(MAX_FIRST_ONSET_SHARE * waitBudget, firstOnset));
+        return firstOnset + (waitBudget - firstOnset) * rank / worths.length;
     }
 
     /** Returns the abatement level of a rank, half way between the wait of normal operation and the onset. */
@@ -814,10 +816,10 @@
     }
 
     /** Returns a call's rank: the index of the worth that it can still earn, which is its late worth past the aim. */
-    private int rank(PendingCall call, boolean isLate) {
+    private int rankOf(PendingCall call, boolean isPastAim) {
         CallClass callClass = settings.classes().get(call.callClass);
         double worth =
-                callClass.worth().orElse(1) * (isLate ? callClass.lateShare().orElse(0) : 1);
+                callClass.worth().orElse(1) * (isPastAim ? callClass.lateShare().orElse(0) : 1);
         return Math.max(0, Arrays.binarySearch(worths, worth));
     }
 
@@ -825,9 +827,9 @@
     private void updateRanks(double now) {
         for (PendingCall call : unrankedCalls) {
             heldByDeadline.add(call);
-            boolean isLate = now + minTimeToAnswer >= call.aimDeadline;
-            call.rank = rank(call, isLate);
-            (isLate ? callsPastAim : callsBeforeAim).add(call);
+            boolean isPastAim = now + minTimeToAnswer >= call.aimDeadline;
+            call.rank = rankOf(call, isPastAim);
+            (isPastAim ? callsPastAim : callsBeforeAim).add(call);
             addToGroup(call, now);
         }
         unrankedCalls.clear();
@@ -848,7 +850,7 @@
         from.remove(call);
         to.add(call);
         removeFromGroup(call);
-        call.rank = rank(call, to == callsPastAim);
+        call.rank = rankOf(call, to == callsPastAim);
         addToGroup(call, now);
     }
 
@@ -889,7 +891,7 @@
     private List<Server> usableServers(PendingCall call) {
         return call.inTransit
                 ? findUsableServers(call)
-                : usableServers.computeIfAbsent(
+                : usableServersCache.computeIfAbsent(
                         List.of(call.callClass, call.allowedServers), key -> findUsableServers(call));
     }
 
@@ -990,7 +992,7 @@
                 * Math.max(recentEstablishedSpan, waitBudget)
                 / Math.max(1, recentEstablished);
         return lineOccupancy > 0 && completedCalls > 0
-                ? Math.min(byOwnRate, fronts * completedCallTime / completedCalls / ordinaryLoad(server))
+                ? Math.min(byOwnRate, frontCount * completedCallTime / completedCalls / ordinaryLoad(server))
                 : byOwnRate;
     }
 
@@ -1048,12 +1050,12 @@
     private void refuse(PendingCall call, double now) {
         stopHolding(call);
         pendingCalls.remove(call.id);
-        markUnserved(call);
+        rememberUnserved(call);
         actions.refuseCall(call.id, retryAfterAdvice());
     }
 
     /** Remembers a caller without service, who will redial, marked as a redial or not, and be late by then. */
-    private void markUnserved(PendingCall call) {
+    private void rememberUnserved(PendingCall call) {
         unservedNumbers.putIfAbsent(
                 call.number,
                 call.arrivedAt
--- a/src/main/java/damsonseam/RoutingPolicy.java
+++ b/src/main/java/damsonseam/RoutingPolicy.java
@@ -206,7 +206,7 @@
      * @param seed seed of all random choices
      * @param fronts number of fronts that share the servers
      * @param classes classes of calls
-     * @param ownIndex index of a server that this front must not use, as it stands for the front itself
+     * @param ownIndex index that denotes this front itself; no call may go to it
      * @param maxAttempts maximum number of attempts per call
      * @param mayCancel whether the policy may cancel attempts
      * @param mayProbe whether the policy may send probes
@@ -221,7 +221,7 @@
      * @param overloadWindow time for which it must be offered that, in milliseconds
      * @param releaseGuard guard time after an unanswered attempt, in milliseconds
      * @param retransmitAfter time after which an unanswered set-up is retransmitted, in milliseconds
-     * @param maxRetryAfter longest time for which a refused caller may be told to stay away, in milliseconds
+     * @param maxRetryAfter longest time for which a refused caller may be advised not to redial, in milliseconds
      */
     record PolicySettings(
             long seed,
--- a/src/main/java/damsonseam/adapter/WireAdapter.java
+++ b/src/main/java/damsonseam/adapter/WireAdapter.java
@@ -35,7 +35,7 @@
     private static final int FLAG_IN_TRANSIT = 8;
     /** A reason code is the reject reason plus this many times the server's retry-after time in milliseconds. */
     private static final int REASON_CODE_BASE = 16;
-    /** Reason code that stands outside that rule. */
+    /** Reason code that is an exception to this rule. */
     private static final int CODE_BEYOND_FULL = 18;
 
     private record Instance(RoutingPolicy policy, LoadReportParser reportParser) {}
--- a/src/test/java/damsonseam/SimulatedCallStream.java
+++ b/src/test/java/damsonseam/SimulatedCallStream.java
@@ -46,10 +46,10 @@
         int incarnation;
         int linesInUse;
 
-        Server(String id, int number, double work) {
+        Server(String id, int index, double serviceTime) {
             this.id = id;
-            this.index = number;
-            this.serviceTime = work;
+            this.index = index;
+            this.serviceTime = serviceTime;
         }
     }
 
@@ -63,11 +63,11 @@
         boolean pending;
         boolean established;
 
-        CallState(String number, int callClass, int first, int dials) {
+        CallState(String number, int callClass, int firstChoiceIndex, int redials) {
             this.number = number;
             this.callClass = callClass;
-            this.firstChoiceIndex = first;
-            this.redials = dials;
+            this.firstChoiceIndex = firstChoiceIndex;
+            this.redials = redials;
         }
     }
 
--- a/src/test/java/damsonseam/sim/FrontEdgeCasesTest.java
+++ b/src/test/java/damsonseam/sim/FrontEdgeCasesTest.java
@@ -328,8 +328,8 @@
         warmUp(60);
         front.answerDelayMs = 450;
         for (int i = 0; i < 40; i++) {
-            front.sendQuery("cheap", i, String.format("598210%08d", 5_000 + i));
-            front.sendQuery("dear", i, String.format("598280%08d", 5_000 + i));
+            front.sendQuery("low-worth", i, String.format("598210%08d", 5_000 + i));
+            front.sendQuery("high-worth", i, String.format("598280%08d", 5_000 + i));
             front.run(25);
         }
         long lowWorth = front.setUps(null).stream()
