--- a/src/main/java/damsonseam/bench/DrainBench.java
+++ b/src/main/java/damsonseam/bench/DrainBench.java
@@ -11,7 +11,7 @@
 import damsonseam.ss7.SignallingProtocolException;
 import damsonseam.standin.CalculatorSettings;
 import damsonseam.standin.Scenario;
-import damsonseam.standin.Surroundings;
+import damsonseam.standin.SimulatedPeers;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -34,7 +34,7 @@
     public static Map<String, Object> run(int drains) throws Exception {
         CalculatorSettings each =
                 new CalculatorSettings(2_000.0, null, null, null, null, null, null, null, null, null, null);
-        Scenario.Kind kind = new Scenario.Kind(
+        Scenario.CallerClass kind = new Scenario.CallerClass(
                 "simulacion",
                 "59821",
                 1.0,
@@ -57,7 +57,7 @@
                 null);
         Path folder = Files.createTempDirectory("drain");
         List<FrontServer> fronts = new ArrayList<>();
-        try (Surroundings around = new Surroundings(scenario, folder)) {
+        try (SimulatedPeers around = new SimulatedPeers(scenario, folder)) {
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (int i = 0; i < FRONTS; i++) {
                 FrontServer front = FrontServer.start(around.frontSettings(i, new Endpoint("127.0.0.1", 0)), false);
@@ -70,12 +70,12 @@
             around.callers().start(addresses, scenario.load().callsPerS());
             Thread.sleep(3_000);
             for (int i = 0; i < drains; i++) {
-                around.directory().setNow(around.listed(0), State.DRAINING);
+                around.directory().updateNow(around.directoryEntry(0), State.DRAINING);
                 Thread.sleep(PAUSE_MS);
-                around.directory().setNow(around.listed(0), State.RUNNING);
+                around.directory().updateNow(around.directoryEntry(0), State.RUNNING);
                 Thread.sleep(PAUSE_MS);
             }
-            around.callers().stop();
+            around.callers().stopArrivals();
             fronts.forEach(FrontServer::close);
             around.close();
             return read(folder, drains);
--- a/src/main/java/damsonseam/bench/OverloadBench.java
+++ b/src/main/java/damsonseam/bench/OverloadBench.java
@@ -11,7 +11,7 @@
 import damsonseam.load.Profile;
 import damsonseam.standin.CalculatorSettings;
 import damsonseam.standin.Scenario;
-import damsonseam.standin.Surroundings;
+import damsonseam.standin.SimulatedPeers;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -51,7 +51,7 @@
         Map<String, Object> report = new LinkedHashMap<>();
         double saturation = 0;
         for (Baseline baseline : baselines) {
-            try (Surroundings around = surroundings();
+            try (SimulatedPeers around = surroundings();
                     FrontProcess front = new FrontProcess(settings(around), baseline, options)) {
                 LoadPlan plan = plan(around, front);
                 warm(plan, seconds);
@@ -133,10 +133,10 @@
         report.put("sentLate", result.sentLateCount());
     }
 
-    static Surroundings surroundings() throws Exception {
+    static SimulatedPeers surroundings() throws Exception {
         CalculatorSettings fast =
                 new CalculatorSettings(200_000.0, null, null, null, null, 60_000, null, null, null, null, null);
-        Scenario.Kind cheap = new Scenario.Kind(
+        Scenario.CallerClass cheap = new Scenario.CallerClass(
                 "simulacion",
                 "59821",
                 0.94,
@@ -147,7 +147,7 @@
                 0.25,
                 TimeSpan.parse("20 ms"),
                 0);
-        Scenario.Kind dear = new Scenario.Kind(
+        Scenario.CallerClass dear = new Scenario.CallerClass(
                 "tasacion-firma",
                 "59828",
                 0.06,
@@ -158,7 +158,7 @@
                 0.25,
                 TimeSpan.parse("20 ms"),
                 0);
-        return new Surroundings(
+        return new SimulatedPeers(
                 new Scenario(
                         "overload",
                         null,
@@ -172,17 +172,17 @@
                 null);
     }
 
-    static FrontSettings settings(Surroundings around) {
+    static FrontSettings settings(SimulatedPeers around) {
         return around.frontSettings(0, new Endpoint("127.0.0.1", 0));
     }
 
-    private static LoadPlan plan(Surroundings around, FrontProcess front) {
+    private static LoadPlan plan(SimulatedPeers around, FrontProcess front) {
         List<LoadPlan.Kind> kinds = List.of(
                 new LoadPlan.Kind("simulacion", "59821", 0.94, 1_500, 3_000, 1, 0.25),
                 new LoadPlan.Kind("tasacion-firma", "59828", 0.06, 1_200, 2_200, 8, 0.25));
         return new LoadPlan(
                 List.of(front.address()),
-                Surroundings.SUFFIX,
+                SimulatedPeers.SUFFIX,
                 kinds,
                 Profile.steady(1),
                 1,
--- a/src/main/java/damsonseam/bench/PathBench.java
+++ b/src/main/java/damsonseam/bench/PathBench.java
@@ -5,7 +5,7 @@
 import damsonseam.front.FrontServer;
 import damsonseam.standin.CalculatorSettings;
 import damsonseam.standin.Scenario;
-import damsonseam.standin.Surroundings;
+import damsonseam.standin.SimulatedPeers;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -31,7 +31,7 @@
     public static Map<String, Object> run(double seconds) throws Exception {
         CalculatorSettings fast =
                 new CalculatorSettings(200_000.0, null, null, null, null, 60_000, null, null, null, null, null);
-        Scenario.Kind kind = new Scenario.Kind(
+        Scenario.CallerClass kind = new Scenario.CallerClass(
                 "simulacion",
                 "59821",
                 1.0,
@@ -54,15 +54,15 @@
                 null);
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         LongFunction<String> numbers = n -> String.format("59821%02d%07d", n % 8, n % KNOWN_NUMBERS);
-        try (Surroundings around = new Surroundings(scenario, null);
+        try (SimulatedPeers around = new SimulatedPeers(scenario, null);
                 FrontServer front = FrontServer.start(around.frontSettings(0, new Endpoint("127.0.0.1", 0)), false);
                 BareResponder bare = new BareResponder((EventLoop) group.next())) {
             if (!front.awaitReady(10_000)) {
                 throw new IllegalStateException("the front was not ready");
             }
             EventLoop loop = (EventLoop) group.next();
-            Asker toFront = new Asker(loop, Surroundings.SUFFIX, numbers, front.enumAddress());
-            Asker toBare = new Asker(loop, Surroundings.SUFFIX, numbers, bare.address());
+            Asker toFront = new Asker(loop, SimulatedPeers.SUFFIX, numbers, front.enumAddress());
+            Asker toBare = new Asker(loop, SimulatedPeers.SUFFIX, numbers, bare.address());
             toFront.full(WINDOW, seconds);
             toBare.full(WINDOW, seconds);
             double[] frontRates = new double[ROUNDS];
--- a/src/main/java/damsonseam/cli/BadDayCommand.java
+++ b/src/main/java/damsonseam/cli/BadDayCommand.java
@@ -5,8 +5,8 @@
 import damsonseam.audit.CallStory;
 import damsonseam.config.TimeSpan;
 import damsonseam.config.Yaml;
-import damsonseam.day.Day;
-import damsonseam.day.DaySearch;
+import damsonseam.day.ScenarioRun;
+import damsonseam.day.ScenarioSearch;
 import damsonseam.standin.Scenario;
 import java.io.IOException;
 import java.io.InputStream;
@@ -48,7 +48,7 @@
             names = "--decider",
             defaultValue = "MODULE",
             description = "MODULE, or RANDOM as a baseline " + "(default: ${DEFAULT-VALUE}).")
-    private Day.Decider decider;
+    private ScenarioRun.Decider decider;
 
     @Option(
             names = "--runs",
@@ -81,12 +81,12 @@
         if (runs == 1) {
             return play(scenario, out).audit().violations() == 0 ? RootCommand.EXIT_OK : RootCommand.EXIT_FAILED;
         }
-        DaySearch search = new DaySearch(scenario);
+        ScenarioSearch search = new ScenarioSearch(scenario);
         for (int i = 0; i < runs; i++) {
             Scenario day = search.next();
             Path folder = out.resolve("day-" + i);
-            Day.Result result = play(day, folder);
-            search.played(day, result.audit());
+            ScenarioRun.Result result = play(day, folder);
+            search.recordResult(day, result.audit());
             if (result.audit().violations() > 0) {
                 Map<String, Object> found = new LinkedHashMap<>();
                 found.put("broken", result.audit().findings().get(0));
@@ -101,7 +101,7 @@
             // A day that broke nothing is told by its report; its wire is some hundred megabytes.
             deleteWire(folder);
         }
-        System.out.println("{\"days\":" + runs + ",\"violations\":0,\"leastLeftMs\":" + search.leastLeft() + "}");
+        System.out.println("{\"days\":" + runs + ",\"violations\":0,\"leastLeftMs\":" + search.minTimeLeftMs() + "}");
         return RootCommand.EXIT_OK;
     }
 
@@ -113,9 +113,9 @@
         }
     }
 
-    private Day.Result play(Scenario scenario, Path folder) throws Exception {
+    private ScenarioRun.Result play(Scenario scenario, Path folder) throws Exception {
         Files.createDirectories(folder);
-        Day.Result result = Day.run(scenario, decider, folder, true);
+        ScenarioRun.Result result = ScenarioRun.run(scenario, decider, folder, true);
         Map<String, Object> report = report(scenario, result);
         ObjectMapper json = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
         json.writeValue(folder.resolve("report.json").toFile(), report);
@@ -124,7 +124,7 @@
         return result;
     }
 
-    private Map<String, Object> report(Scenario scenario, Day.Result result) {
+    private Map<String, Object> report(Scenario scenario, ScenarioRun.Result result) {
         Map<String, Object> report = new LinkedHashMap<>();
         report.put("scenario", scenario.name());
         report.put("decider", decider.toString().toLowerCase(java.util.Locale.ROOT));
@@ -139,10 +139,10 @@
         report.put("notTaken", result.audit().notTaken());
         report.put("overtaken", result.audit().overtaken());
         report.put("firstTries", result.totals().calls);
-        report.put("cut", result.totals().cut);
+        report.put("cut", result.totals().dropped);
         report.put("setUps", result.audit().setUps());
-        report.put("service", Math.round(result.totals().service() * 10_000) / 10_000.0);
-        report.put("fallen", result.fallen());
+        report.put("service", Math.round(result.totals().earnedShare() * 10_000) / 10_000.0);
+        report.put("fallen", result.collapsedCalculators());
         report.put("longestPauseMs", Math.round(result.longestPauseMs()));
         report.put("violations", result.audit().violations());
         report.put("perRule", result.audit().perRule());
--- a/src/main/java/damsonseam/cli/DemoCommand.java
+++ b/src/main/java/damsonseam/cli/DemoCommand.java
@@ -4,7 +4,7 @@
 import damsonseam.config.Endpoint;
 import damsonseam.front.FrontServer;
 import damsonseam.standin.Scenario;
-import damsonseam.standin.Surroundings;
+import damsonseam.standin.SimulatedPeers;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.Callable;
@@ -50,7 +50,7 @@
         OptionChecks.checkRange("--calculators", calculators, 1, 99);
         Scenario scenario = new Scenario(
                 "demo", null, null, 1, new Scenario.Calculators(calculators, null), null, null, null, null);
-        try (Surroundings around = new Surroundings(scenario, null);
+        try (SimulatedPeers around = new SimulatedPeers(scenario, null);
                 FrontServer front = FrontServer.start(around.frontSettings(0, new Endpoint("127.0.0.1", port)), true)) {
             if (!front.awaitReady(READY_MS)) {
                 System.err.println("damsonseam: the front was not ready within " + READY_MS + " ms");
@@ -58,7 +58,7 @@
             }
             Map<String, Object> ready = new LinkedHashMap<>();
             ready.put("enum", "127.0.0.1:" + front.enumAddress().getPort());
-            ready.put("suffix", Surroundings.SUFFIX);
+            ready.put("suffix", SimulatedPeers.SUFFIX);
             ready.put("number", around.exampleNumber());
             ready.put(
                     "authorities",
--- a/src/main/java/damsonseam/cli/NodeCommand.java
+++ b/src/main/java/damsonseam/cli/NodeCommand.java
@@ -5,7 +5,7 @@
 import damsonseam.loop.CallLog;
 import damsonseam.node.NodeConfig;
 import damsonseam.node.NodeServer;
-import damsonseam.standin.Rehearsal;
+import damsonseam.standin.NodeRehearsal;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -32,7 +32,7 @@
     @Override
     public Integer call() throws Exception {
         if (rehearse) {
-            return Rehearsal.play() ? RootCommand.EXIT_OK : RootCommand.EXIT_FAILED;
+            return NodeRehearsal.run() ? RootCommand.EXIT_OK : RootCommand.EXIT_FAILED;
         }
         return run(System.getenv("NODE_CONFIG"));
     }
--- a/src/main/java/damsonseam/cli/StandinCommand.java
+++ b/src/main/java/damsonseam/cli/StandinCommand.java
@@ -153,8 +153,9 @@
             int number = 0;
             for (Map.Entry<String, String> server : servers.entrySet()) {
                 String address = Endpoint.parse(server.getValue()).toString();
-                directory.setNow(
-                        new DirectoryServer.Listed(server.getKey(), number, address, FIRST_POINT_CODE + number),
+                directory.updateNow(
+                        new DirectoryServer.CalculatorEntry(
+                                server.getKey(), number, address, FIRST_POINT_CODE + number),
                         State.RUNNING);
                 number++;
             }
--- a/src/main/java/damsonseam/day/Troubles.java
+++ b/src/main/java/damsonseam/day/FaultInjector.java
@@ -5,7 +5,7 @@
 import damsonseam.front.FrontServer;
 import damsonseam.standin.DnsAuthority;
 import damsonseam.standin.Scenario;
-import damsonseam.standin.Surroundings;
+import damsonseam.standin.SimulatedPeers;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,14 +17,14 @@
 import org.slf4j.LoggerFactory;
 
 /** Plays the troubles of a scenario on the running parts, at their times. */
-final class Troubles implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Troubles.class);
+final class FaultInjector implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(FaultInjector.class);
     private static final int AGEING_STEPS = 20;
     private static final long BETWEEN_STALLS_MS = 3_000;
     private static final double DRAIN_MS = 4_000;
 
     private final Scenario scenario;
-    private final Surroundings around;
+    private final SimulatedPeers around;
     private final List<FrontServer> fronts;
     private final SplittableRandom random;
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(r -> {
@@ -38,7 +38,7 @@
         void run() throws Exception;
     }
 
-    Troubles(Scenario scenario, Surroundings around, List<FrontServer> fronts) {
+    FaultInjector(Scenario scenario, SimulatedPeers around, List<FrontServer> fronts) {
         this.scenario = scenario;
         this.around = around;
         this.fronts = fronts;
@@ -49,7 +49,7 @@
         double length = scenario.length().ms();
         double every = scenario.cycle() == null ? length : scenario.cycle().ms();
         for (double from = 0; from < length; from += every) {
-            for (Scenario.Trouble t : scenario.troubles()) {
+            for (Scenario.Fault t : scenario.troubles()) {
                 if (from + t.at().ms() < length) {
                     begin(t, from + t.at().ms());
                 }
@@ -81,8 +81,8 @@
         return all.subList(0, (int) Math.max(1, Math.min(of, Math.round(part * of))));
     }
 
-    private void begin(Scenario.Trouble t, double start) {
-        double end = start + t.lasts().ms();
+    private void begin(Scenario.Fault t, double start) {
+        double end = start + t.duration().ms();
         List<Integer> struck = some(t.part(), around.calculators().size());
         switch (t.kind()) {
             case CRASH -> struck.forEach(i -> crash(i, start, end));
@@ -90,25 +90,25 @@
             case VANISH -> struck.forEach(i -> vanish(i, start, end));
             case HANG ->
                 struck.forEach(i -> {
-                    at(start, () -> around.calculators().get(i).freeze());
-                    at(end, () -> around.calculators().get(i).thaw());
+                    at(start, () -> around.calculators().get(i).pause());
+                    at(end, () -> around.calculators().get(i).resume());
                 });
             case SLOW ->
                 struck.forEach(i -> {
-                    at(start, () -> around.calculators().get(i).slow(t.size()));
-                    at(end, () -> around.calculators().get(i).slow(1));
+                    at(start, () -> around.calculators().get(i).setSlowdown(t.size()));
+                    at(end, () -> around.calculators().get(i).setSlowdown(1));
                 });
             case AGEING ->
                 struck.forEach(i -> {
                     for (int step = 1; step <= AGEING_STEPS; step++) {
                         double share = step / (double) AGEING_STEPS;
                         at(
-                                start + share * t.lasts().ms(),
-                                () -> around.calculators().get(i).slow(Math.pow(t.size(), share)));
+                                start + share * t.duration().ms(),
+                                () -> around.calculators().get(i).setSlowdown(Math.pow(t.size(), share)));
                     }
                     crash(i, end, end + 3_000);
                 });
-            case DEPLOY -> deploy(struck, start, t.lasts().ms());
+            case DEPLOY -> deploy(struck, start, t.duration().ms());
             case FRONT_STALL ->
                 some(t.part(), fronts.size()).forEach(i -> {
                     double offset = random.nextDouble() * BETWEEN_STALLS_MS;
@@ -118,71 +118,73 @@
                 });
             case STALE_DIRECTORY -> {
                 double usual = scenario.directory().notice().ms();
-                at(start, () -> around.directory().notice((long) (usual + t.size())));
-                at(end, () -> around.directory().notice((long) usual));
+                at(start, () -> around.directory().setNotificationDelay((long) (usual + t.size())));
+                at(end, () -> around.directory().setNotificationDelay((long) usual));
             }
             case SILENT_DIRECTORY -> {
-                at(start, () -> around.directory().silent(true));
-                at(end, () -> around.directory().silent(false));
+                at(start, () -> around.directory().setSilent(true));
+                at(end, () -> around.directory().setSilent(false));
             }
             case BURST -> {
-                at(start, () -> around.callers().rate(scenario.load().callsPerS() * t.size()));
-                at(end, () -> around.callers().rate(scenario.load().callsPerS()));
+                at(start, () -> around.callers().setRate(scenario.load().callsPerS() * t.size()));
+                at(end, () -> around.callers().setRate(scenario.load().callsPerS()));
             }
             case ANSWER_LOST ->
                 struck.forEach(i -> {
-                    at(start, () -> around.calculators().get(i).loseAnswers(t.size()));
-                    at(end, () -> around.calculators().get(i).loseAnswers(0));
+                    at(start, () -> around.calculators().get(i).setAnswerLossShare(t.size()));
+                    at(end, () -> around.calculators().get(i).setAnswerLossShare(0));
                 });
             case TURN_AWAY ->
                 struck.forEach(i -> {
-                    at(start, () -> around.calculators().get(i).turnAllAway(true));
-                    at(end, () -> around.calculators().get(i).turnAllAway(false));
+                    at(start, () -> around.calculators().get(i).setRejectAll(true));
+                    at(end, () -> around.calculators().get(i).setRejectAll(false));
                 });
-            case DNS_SILENT -> mood(t, start, end, DnsAuthority.Mood.SILENT);
-            case DNS_LAME -> mood(t, start, end, DnsAuthority.Mood.LAME);
-            case DNS_FORGED -> mood(t, start, end, DnsAuthority.Mood.FORGED);
+            case DNS_SILENT -> mood(t, start, end, DnsAuthority.ResponseMode.SILENT);
+            case DNS_LAME -> mood(t, start, end, DnsAuthority.ResponseMode.LAME);
+            case DNS_FORGED -> mood(t, start, end, DnsAuthority.ResponseMode.FORGED);
             case DNS_SLOW ->
                 some(t.part(), around.authorities().size()).forEach(i -> {
-                    at(start, () -> around.authorities().get(i).delay(t.size().longValue()));
-                    at(end, () -> around.authorities().get(i).delay(0));
+                    at(
+                            start,
+                            () -> around.authorities().get(i).setDelay(t.size().longValue()));
+                    at(end, () -> around.authorities().get(i).setDelay(0));
                 });
             default -> throw new IllegalStateException("trouble " + t.kind());
         }
     }
 
-    private void mood(Scenario.Trouble t, double start, double end, DnsAuthority.Mood mood) {
+    private void mood(Scenario.Fault t, double start, double end, DnsAuthority.ResponseMode mood) {
         some(t.part(), around.authorities().size()).forEach(i -> {
-            at(start, () -> around.authorities().get(i).mood(mood));
-            at(end, () -> around.authorities().get(i).mood(DnsAuthority.Mood.WELL));
+            at(start, () -> around.authorities().get(i).setResponseMode(mood));
+            at(end, () -> around.authorities().get(i).setResponseMode(DnsAuthority.ResponseMode.NORMAL));
         });
     }
 
     private void stall(int front, long ms) {
-        around.event(Surroundings.frontName(front), WireLog.STALL, Long.toString(ms));
+        around.logEvent(SimulatedPeers.frontName(front), WireLog.STALL, Long.toString(ms));
         fronts.get(front).pause(ms);
     }
 
     private void crash(int i, double start, double end) {
         at(start, () -> {
             around.calculators().get(i).crash();
-            around.directory().set(around.listed(i), State.GONE, false);
+            around.directory().updateDelayed(around.directoryEntry(i), State.GONE, false);
         });
         at(end, () -> restart(i));
     }
 
     private void restart(int i) throws IOException, InterruptedException {
-        if (!around.calculators().get(i).fallen()) {
+        if (!around.calculators().get(i).hasCollapsed()) {
             around.calculators().get(i).start(null, true);
-            around.directory().set(around.listed(i), State.RUNNING, true);
+            around.directory().updateDelayed(around.directoryEntry(i), State.RUNNING, true);
         }
     }
 
     private void vanish(int i, double start, double end) {
-        at(start, () -> around.calculators().get(i).freeze());
+        at(start, () -> around.calculators().get(i).pause());
         double told = start + scenario.directory().silentNotice().ms();
         if (told < end) {
-            at(told, () -> around.directory().setNow(around.listed(i), State.GONE));
+            at(told, () -> around.directory().updateNow(around.directoryEntry(i), State.GONE));
         }
         at(end, () -> {
             around.calculators().get(i).crash();
@@ -195,7 +197,7 @@
         for (int k = 0; k < struck.size(); k++) {
             int i = struck.get(k);
             double from = start + k * each;
-            at(from, () -> around.directory().set(around.listed(i), State.DRAINING, false));
+            at(from, () -> around.directory().updateDelayed(around.directoryEntry(i), State.DRAINING, false));
             at(from + DRAIN_MS, () -> {
                 around.calculators().get(i).crash();
                 restart(i);
--- a/src/main/java/damsonseam/day/Day.java
+++ b/src/main/java/damsonseam/day/ScenarioRun.java
@@ -8,10 +8,10 @@
 import damsonseam.config.FrontSettings;
 import damsonseam.front.FrontServer;
 import damsonseam.overload.AdmissionController;
-import damsonseam.standin.Callers;
-import damsonseam.standin.RandomRoute;
+import damsonseam.standin.CallGenerator;
+import damsonseam.standin.RandomRoutingPolicy;
 import damsonseam.standin.Scenario;
-import damsonseam.standin.Surroundings;
+import damsonseam.standin.SimulatedPeers;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -21,7 +21,7 @@
 import java.util.function.BiFunction;
 
 /** Runs a scenario through real fronts and audits what passed the sockets. */
-public final class Day {
+public final class ScenarioRun {
     private static final long READY_MS = 10_000;
     private static final long SETTLE_MS = 20_000;
     private static final int POLL_MS = 50;
@@ -40,18 +40,19 @@
      * @param totals as the callers count
      * @param audit as the wire logs show
      * @param longestPauseMs longest time for which a front's loop did not turn, stalls by the script included
-     * @param fallen calculators that were pushed over
+     * @param collapsedCalculators calculators that were pushed over
      */
-    public record Result(Callers.Totals totals, AuditReport audit, double longestPauseMs, int fallen) {}
+    public record Result(
+            CallGenerator.Totals totals, AuditReport audit, double longestPauseMs, int collapsedCalculators) {}
 
-    private Day() {}
+    private ScenarioRun() {}
 
     /** Runs a scenario; wire logs and world go to {@code out}. */
     public static Result run(Scenario scenario, Decider decider, Path out, boolean logCalls)
             throws IOException, InterruptedException {
         Path wire = Files.createDirectories(out.resolve("wire"));
         List<FrontServer> fronts = new ArrayList<>();
-        try (Surroundings around = new Surroundings(scenario, wire)) {
+        try (SimulatedPeers around = new SimulatedPeers(scenario, wire)) {
             List<World.FrontAt> places = new ArrayList<>();
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (int i = 0; i < scenario.fronts(); i++) {
@@ -60,7 +61,7 @@
                 fronts.add(front);
                 addresses.add(front.enumAddress());
                 places.add(new World.FrontAt(
-                        Surroundings.frontName(i), front.enumAddress().getPort()));
+                        SimulatedPeers.frontName(i), front.enumAddress().getPort()));
             }
             AuditFolder.write(out, around.world(places));
             for (FrontServer front : fronts) {
@@ -68,26 +69,26 @@
                     throw new IOException("a front was not ready within " + READY_MS + " ms");
                 }
             }
-            try (Troubles troubles = new Troubles(scenario, around, fronts)) {
+            try (FaultInjector troubles = new FaultInjector(scenario, around, fronts)) {
                 around.callers().start(addresses, scenario.load().callsPerS());
                 troubles.start();
                 Thread.sleep((long) scenario.length().ms());
-                around.callers().stop();
+                around.callers().stopArrivals();
                 long until = System.nanoTime() + SETTLE_MS * 1_000_000;
-                while (around.callers().open() > 0 && System.nanoTime() < until) {
+                while (around.callers().openCalls() > 0 && System.nanoTime() < until) {
                     Thread.sleep(POLL_MS);
                 }
             }
-            around.callers().closeBooks();
+            around.callers().ignoreFurtherDrops();
             double pause = fronts.stream()
                     .mapToDouble(f -> f.counters().maxPauseMs)
                     .max()
                     .orElse(0);
-            int fallen =
-                    (int) around.calculators().stream().filter(c -> c.fallen()).count();
+            int fallen = (int)
+                    around.calculators().stream().filter(c -> c.hasCollapsed()).count();
             fronts.forEach(FrontServer::close);
             fronts.clear();
-            Callers.Totals totals = around.callers().totals();
+            CallGenerator.Totals totals = around.callers().totals();
             around.close();
             return new Result(totals, AuditFolder.audit(out), pause, fallen);
         } finally {
@@ -100,7 +101,8 @@
         if (decider == Decider.MODULE) {
             return FrontServer.start(settings, logCalls);
         }
-        BiFunction<RoutingPolicy.PolicySettings, RoutingPolicy.PolicyActions, RoutingPolicy> random = RandomRoute::new;
+        BiFunction<RoutingPolicy.PolicySettings, RoutingPolicy.PolicyActions, RoutingPolicy> random =
+                RandomRoutingPolicy::new;
         AdmissionController open = (now, rank, sender, load) -> AdmissionController.ADMIT;
         return FrontServer.start(
                 settings,
--- a/src/main/java/damsonseam/day/DaySearch.java
+++ b/src/main/java/damsonseam/day/ScenarioSearch.java
@@ -12,7 +12,7 @@
  * least time that was left at an answer and beyond a guard, and a day that came nearer than all before is what the
  * next ones are drawn from. Decides only; running a day is its owner's.
  */
-public final class DaySearch {
+public final class ScenarioSearch {
     private static final int MOST_FRONTS = 24;
     private static final double MOST_LOAD = 2_000;
     private static final double FROM_HARDEST = 0.6;
@@ -20,11 +20,11 @@
     private final Scenario given;
     private final SplittableRandom random;
     private Scenario hardest;
-    private double leastLeft = Double.POSITIVE_INFINITY;
+    private double minTimeLeftMs = Double.POSITIVE_INFINITY;
     private int drawn;
 
     /** A search around a day; its seed is that of the search too. */
-    public DaySearch(Scenario given) {
+    public ScenarioSearch(Scenario given) {
         this.given = given;
         hardest = given;
         random = new SplittableRandom(given.seed());
@@ -37,12 +37,12 @@
             return given;
         }
         Scenario from = random.nextDouble() < FROM_HARDEST ? hardest : given;
-        List<Scenario.Trouble> troubles = new ArrayList<>();
-        for (Scenario.Trouble t : from.troubles()) {
-            troubles.add(new Scenario.Trouble(
+        List<Scenario.Fault> troubles = new ArrayList<>();
+        for (Scenario.Fault t : from.troubles()) {
+            troubles.add(new Scenario.Fault(
                     t.kind(),
                     TimeSpan.ms(t.at().ms() * between(0.7, 1.2)),
-                    TimeSpan.ms(t.lasts().ms() * between(0.6, 1.6)),
+                    TimeSpan.ms(t.duration().ms() * between(0.6, 1.6)),
                     Math.min(1, t.part() * between(0.6, 1.8)),
                     size(t)));
         }
@@ -65,7 +65,7 @@
     }
 
     /** How bad: shares stay shares, what makes nothing worse stays as it is. */
-    private Double size(Scenario.Trouble t) {
+    private Double size(Scenario.Fault t) {
         return switch (t.kind()) {
             case ANSWER_LOST -> Math.min(0.9, t.size() * between(0.6, 1.8));
             case SLOW, AGEING, BURST -> Math.max(1, t.size() * between(0.8, 1.4));
@@ -75,16 +75,16 @@
     }
 
     /** A day was played; it may be the hardest so far. */
-    public void played(Scenario day, AuditReport audit) {
+    public void recordResult(Scenario day, AuditReport audit) {
         double left = Math.min(audit.leastAnswerLeftMs(), audit.leastGuardLeftMs());
-        if (left < leastLeft) {
-            leastLeft = left;
+        if (left < minTimeLeftMs) {
+            minTimeLeftMs = left;
             hardest = day;
         }
     }
 
     /** The least time left on any day so far, in milliseconds; negative where a rule was broken. */
-    public double leastLeft() {
-        return leastLeft;
+    public double minTimeLeftMs() {
+        return minTimeLeftMs;
     }
 }
--- a/src/main/java/damsonseam/standin/Calculator.java
+++ b/src/main/java/damsonseam/standin/Calculator.java
@@ -65,7 +65,7 @@
     private double lossShare;
     private boolean frozen;
     private boolean turnAll;
-    private boolean fallen;
+    private boolean collapsed;
     private int life;
     private int held;
     private ServerLoadReport report = ServerLoadReport.NONE;
@@ -152,7 +152,7 @@
                     listening = bound;
                     startedAt = cold ? now() : Double.NEGATIVE_INFINITY;
                     frozen = false;
-                    fallen = false;
+                    collapsed = false;
                     turnAll = false;
                     slowness = 1;
                     lossShare = 0;
@@ -182,12 +182,12 @@
     }
 
     /** The machine goes silent: connections stay, nothing is answered. */
-    public void freeze() {
+    public void pause() {
         loop.execute(() -> frozen = true);
     }
 
     /** It goes on where it stopped. */
-    public void thaw() {
+    public void resume() {
         loop.execute(() -> {
             frozen = false;
             processor.resume(now());
@@ -195,22 +195,22 @@
     }
 
     /** Work takes so many times longer. */
-    public void slow(double times) {
+    public void setSlowdown(double times) {
         loop.execute(() -> slowness = times);
     }
 
     /** So great a share of its answers is lost on the way. */
-    public void loseAnswers(double share) {
+    public void setAnswerLossShare(double share) {
         loop.execute(() -> lossShare = share);
     }
 
     /** It turns all set-ups away, quickly. */
-    public void turnAllAway(boolean on) {
+    public void setRejectAll(boolean on) {
         loop.execute(() -> turnAll = on);
     }
 
     /** Tells its connections that it can't be reached, or can again, or is congested (SSNM). */
-    public void tell(Kind kind, int level) {
+    public void sendDestinationState(Kind kind, int level) {
         M3uaMessage message = kind == Kind.SCON
                 ? M3uaMessage.destinationState(kind, pointCode, M3uaMessage.congestionIndications(level))
                 : M3uaMessage.destinationState(kind, pointCode);
@@ -238,13 +238,13 @@
     }
 
     /** Milliseconds since its processor's last cold start, or -1 if that is long ago. */
-    public double age() {
+    public double coldStartAgeMs() {
         return startedAt == Double.NEGATIVE_INFINITY ? -1 : now() - startedAt;
     }
 
     /** Whether it fell over by too many set-ups while cold; it stays down then. */
-    public boolean fallen() {
-        return fallen;
+    public boolean hasCollapsed() {
+        return collapsed;
     }
 
     private double warmth() {
@@ -476,7 +476,7 @@
             }
             double now = now();
             if (tips(now)) {
-                fallen = true;
+                collapsed = true;
                 die();
                 return;
             }
--- a/src/main/java/damsonseam/standin/Callers.java
+++ b/src/main/java/damsonseam/standin/CallGenerator.java
@@ -37,12 +37,12 @@
  * Callers: open arrivals that do not wait for answers, each asking one front by DNS over UDP, asking again when
  * nothing comes, giving up, and dialling again after a wait. One event loop.
  */
-public final class Callers implements AutoCloseable {
+public final class CallGenerator implements AutoCloseable {
     private static final int IDS = 1 << 16;
     private static final double RESEND_MS = 1_000;
 
     /** A class of callers: what its numbers begin with, how often it calls, what it bears and is worth. */
-    public record Kind(
+    public record CallerClass(
             String prefix,
             double share,
             double aimMs,
@@ -56,9 +56,9 @@
         /** First tries. */
         public long calls;
         /** Tries, redials included. */
-        public long tries;
+        public long attempts;
         /** Tries answered: stands. */
-        public long stood;
+        public long established;
         /** Tries answered: refused. */
         public long refused;
         /** Tries answered: failed. */
@@ -66,25 +66,25 @@
         /** Tries given up without an answer. */
         public long unanswered;
         /** Standing calls that were cut. */
-        public long cut;
+        public long dropped;
         /** Worth offered and earned. */
-        public double offered;
+        public double offeredWorth;
         /** Worth of calls that stood in time and were not cut, late ones in part. */
-        public double earned;
+        public double earnedWorth;
 
         /** Tries that got a final answer. */
         public long resolved() {
-            return stood + refused + failed;
+            return established + refused + failed;
         }
 
         /** Worth earned over worth offered. */
-        public double service() {
-            return offered == 0 ? 0 : earned / offered;
+        public double earnedShare() {
+            return offeredWorth == 0 ? 0 : earnedWorth / offeredWorth;
         }
     }
 
     private static final class Try {
-        final Kind kind;
+        final CallerClass kind;
         final String number;
         final double firstAt;
         final int redial;
@@ -94,7 +94,7 @@
         String frontName;
         byte[] question;
 
-        Try(Kind kind, String number, double firstAt, int redial) {
+        Try(CallerClass kind, String number, double firstAt, int redial) {
             this.kind = kind;
             this.number = number;
             this.firstAt = firstAt;
@@ -103,7 +103,7 @@
     }
 
     private final EventLoop loop;
-    private final List<Kind> kinds;
+    private final List<CallerClass> kinds;
     private final Name suffix;
     private final Function<SplittableRandom, Integer> destination;
     private final SplittableRandom random;
@@ -113,7 +113,7 @@
     private final Map<String, Double> earnedBy = new HashMap<>();
     private final Totals totals = new Totals();
     private volatile List<InetSocketAddress> fronts = List.of();
-    private volatile double rate;
+    private volatile double arrivalRate;
     private volatile boolean running;
     private Channel socket;
     private String name;
@@ -128,10 +128,10 @@
      *
      * @param destination draws the number of the first-choice calculator for a call
      */
-    public Callers(
+    public CallGenerator(
             EventLoop loop,
             String suffix,
-            List<Kind> kinds,
+            List<CallerClass> kinds,
             Function<SplittableRandom, Integer> destination,
             long seed,
             WireLog wire) {
@@ -150,7 +150,7 @@
     /** Starts calling these fronts, so many calls a second. */
     public void start(List<InetSocketAddress> to, double callsPerS) throws InterruptedException {
         fronts = List.copyOf(to);
-        rate = callsPerS;
+        arrivalRate = callsPerS;
         socket = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
@@ -178,17 +178,17 @@
     }
 
     /** Calls a second from now on. */
-    public void rate(double callsPerS) {
-        rate = callsPerS;
+    public void setRate(double callsPerS) {
+        arrivalRate = callsPerS;
     }
 
     /** No new calls; those open go on. */
-    public void stop() {
+    public void stopArrivals() {
         running = false;
     }
 
     /** Calls whose tries are not over. */
-    public int open() throws InterruptedException {
+    public int openCalls() throws InterruptedException {
         int[] open = new int[1];
         loop.submit(() -> open[0] = asked.size() + waiting).sync();
         return open[0];
@@ -200,20 +200,20 @@
     }
 
     /** The day is over: what is cut by taking it down is no loss of the day's. */
-    public void closeBooks() throws InterruptedException {
+    public void ignoreFurtherDrops() throws InterruptedException {
         loop.submit(() -> booksClosed = true).sync();
     }
 
     /** A standing call to this number was cut: it earns nothing. */
-    public void cut(String number) {
+    public void onCallDropped(String number) {
         loop.execute(() -> {
             if (booksClosed) {
                 return;
             }
             Double earned = earnedBy.remove(number);
             if (earned != null) {
-                totals.earned -= earned;
-                totals.cut++;
+                totals.earnedWorth -= earned;
+                totals.dropped++;
             }
         });
     }
@@ -224,20 +224,21 @@
         }
         double now = now();
         while (nextAt <= now) {
-            Kind kind = draw();
+            CallerClass kind = draw();
             String number = kind.prefix() + String.format("%02d%07d", destination.apply(random), sequence++);
             totals.calls++;
-            totals.offered += kind.worth();
+            totals.offeredWorth += kind.worth();
             // The time of the arrival is when it was due, however late this loop is.
             ask(new Try(kind, number, nextAt, 0));
-            nextAt += -Math.log(1 - random.nextDouble()) * 1_000 / Math.max(1e-3, rate);
+            nextAt += -Math.log(1 - random.nextDouble()) * 1_000 / Math.max(1e-3, arrivalRate);
         }
         loop.schedule(this::arrive, (long) ((nextAt - now()) * 1e6), TimeUnit.NANOSECONDS);
     }
 
-    private Kind draw() {
-        double x = random.nextDouble() * kinds.stream().mapToDouble(Kind::share).sum();
-        for (Kind kind : kinds) {
+    private CallerClass draw() {
+        double x = random.nextDouble()
+                * kinds.stream().mapToDouble(CallerClass::share).sum();
+        for (CallerClass kind : kinds) {
             x -= kind.share();
             if (x < 0) {
                 return kind;
@@ -247,7 +248,7 @@
     }
 
     private void ask(Try attempt) {
-        totals.tries++;
+        totals.attempts++;
         do {
             nextId = (nextId + 1) % IDS;
         } while (asked.containsKey(nextId) && asked.size() < IDS);
@@ -320,10 +321,10 @@
         asked.remove(attempt.id);
         if (answer.getRcode() == Rcode.NOERROR
                 && !answer.getSection(Section.ANSWER).isEmpty()) {
-            totals.stood++;
+            totals.established++;
             double worth = attempt.kind.worth()
                     * (now() - attempt.firstAt <= attempt.kind.aimMs() ? 1 : attempt.kind.lateShare());
-            totals.earned += worth;
+            totals.earnedWorth += worth;
             earnedBy.put(attempt.number, worth);
         } else if (isRefusal(answer)) {
             totals.refused++;
--- a/src/main/java/damsonseam/standin/DirectoryServer.java
+++ b/src/main/java/damsonseam/standin/DirectoryServer.java
@@ -29,7 +29,7 @@
     private static final int KEPT_VERSIONS = 1_000;
 
     /** A calculator as the directory lists it. */
-    public record Listed(String id, int number, String address, int pointCode) {}
+    public record CalculatorEntry(String id, int index, String address, int pointCode) {}
 
     private final WireLog wire;
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(r -> {
@@ -73,12 +73,12 @@
     }
 
     /** Changes are told so much later from now on. */
-    public void notice(long ms) {
+    public void setNotificationDelay(long ms) {
         thread.execute(() -> noticeMs = ms);
     }
 
     /** Tells nothing until told otherwise; then all that was missed. */
-    public void silent(boolean on) {
+    public void setSilent(boolean on) {
         thread.execute(() -> {
             silent = on;
             if (!on) {
@@ -88,21 +88,21 @@
     }
 
     /** A change of a calculator, told after the notice; a cold start of its processor is told by its age. */
-    public void set(Listed calculator, State state, boolean startsNow) {
+    public void updateDelayed(CalculatorEntry calculator, State state, boolean startsNow) {
         long at = System.nanoTime();
         thread.execute(() ->
                 thread.schedule(() -> apply(calculator, state, startsNow ? at : 0), noticeMs, TimeUnit.MILLISECONDS));
     }
 
     /** A change that is told at once. */
-    public void setNow(Listed calculator, State state) {
+    public void updateNow(CalculatorEntry calculator, State state) {
         thread.execute(() -> apply(calculator, state, 0));
     }
 
-    private void apply(Listed c, State state, long started) {
+    private void apply(CalculatorEntry c, State state, long started) {
         Entry entry = Entry.newBuilder()
                 .setServer(c.id())
-                .setNumber(c.number())
+                .setNumber(c.index())
                 .setAddress(c.address())
                 .setPointCode(c.pointCode())
                 .setState(state)
--- a/src/main/java/damsonseam/standin/DnsAuthority.java
+++ b/src/main/java/damsonseam/standin/DnsAuthority.java
@@ -44,19 +44,19 @@
     private static final int LENGTH_OCTETS = 2;
 
     /** How it answers now. */
-    public enum Mood {
+    public enum ResponseMode {
         /** As it should. */
-        WELL,
+        NORMAL,
         /** Not at all. */
         SILENT,
         /** That it does not serve the zone. */
         LAME,
         /** Over UDP only that the answer does not fit. */
-        TRUNCATING,
+        TRUNCATED,
         /** First with a wrong id, then with a wrong question, then as it should. */
         FORGED,
         /** With octets that are no message. */
-        GARBAGE
+        MALFORMED
     }
 
     private final Name suffix;
@@ -64,8 +64,8 @@
     private final EventLoop loop;
     private final long ttl;
     private final SplittableRandom random = new SplittableRandom(1);
-    private final AtomicLong questions = new AtomicLong();
-    private volatile Mood mood = Mood.WELL;
+    private final AtomicLong queryCount = new AtomicLong();
+    private volatile ResponseMode responseMode = ResponseMode.NORMAL;
     private volatile long delayMs;
     private volatile double loss;
     private Channel udp;
@@ -138,28 +138,28 @@
     }
 
     /** Changes how it answers. */
-    public void mood(Mood to) {
-        mood = to;
+    public void setResponseMode(ResponseMode to) {
+        responseMode = to;
     }
 
     /** Answers come so much later. */
-    public void delay(long ms) {
+    public void setDelay(long ms) {
         delayMs = ms;
     }
 
     /** So great a share of its answers is lost. */
-    public void lose(double share) {
+    public void setLossShare(double share) {
         loss = share;
     }
 
     /** Questions that came. */
-    public long questions() {
-        return questions.get();
+    public long queryCount() {
+        return queryCount.get();
     }
 
     private void answer(byte[] octets, boolean stream, Consumer<byte[]> to) {
-        questions.incrementAndGet();
-        if (mood == Mood.SILENT || random.nextDouble() < loss) {
+        queryCount.incrementAndGet();
+        if (responseMode == ResponseMode.SILENT || random.nextDouble() < loss) {
             return;
         }
         Message query;
@@ -180,14 +180,14 @@
     }
 
     private void send(Message query, boolean stream, Consumer<byte[]> to) {
-        switch (mood) {
+        switch (responseMode) {
             case LAME -> {
                 Message reply = start(query);
                 reply.getHeader().unsetFlag(Flags.AA);
                 reply.getHeader().setRcode(Rcode.REFUSED);
                 to.accept(reply.toWire());
             }
-            case TRUNCATING -> {
+            case TRUNCATED -> {
                 Message reply = stream ? full(query) : start(query);
                 if (!stream) {
                     reply.getHeader().setFlag(Flags.TC);
@@ -207,7 +207,7 @@
                 to.accept(wrongName.toWire());
                 to.accept(full(query).toWire());
             }
-            case GARBAGE -> {
+            case MALFORMED -> {
                 byte[] garbage = new byte[40];
                 garbage[0] = (byte) (query.getHeader().getID() >> 8);
                 garbage[1] = (byte) query.getHeader().getID();
--- a/src/main/java/damsonseam/standin/Rehearsal.java
+++ b/src/main/java/damsonseam/standin/NodeRehearsal.java
@@ -28,17 +28,17 @@
  * A front node on loopback with some calls through it: shows that a build serves, and loads what a node loads, so
  * that the virtual machine can share it with the nodes that start later.
  */
-public final class Rehearsal {
+public final class NodeRehearsal {
     private static final int CALLS = 200;
     private static final int EVERY_MS = 5;
     private static final int PATIENCE_S = 20;
     /** A port where nothing listens: the coordinator's absence is part of what is rehearsed. */
     private static final String NO_COORDINATOR = "127.0.0.1:9";
 
-    private Rehearsal() {}
+    private NodeRehearsal() {}
 
     /** Plays it; returns whether all calls stood. */
-    public static boolean play() throws IOException, InterruptedException, SettingsException {
+    public static boolean run() throws IOException, InterruptedException, SettingsException {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         CountDownLatch standing = new CountDownLatch(CALLS);
         Path file = Files.createTempFile("rehearsal", ".json");
--- a/src/main/java/damsonseam/standin/RandomRoute.java
+++ b/src/main/java/damsonseam/standin/RandomRoutingPolicy.java
@@ -13,7 +13,7 @@
  * A baseline to compare against, nothing else: each call goes to a calculator drawn at random, with no levels
  * and no refusals, and after a bad end to another one when the release guard has passed.
  */
-public final class RandomRoute implements RoutingPolicy {
+public final class RandomRoutingPolicy implements RoutingPolicy {
     private final PolicySettings settings;
     private final PolicyActions act;
     private final SplittableRandom random;
@@ -23,7 +23,7 @@
     private final ArrayDeque<Long> ready = new ArrayDeque<>();
 
     /** A baseline for these settings. */
-    public RandomRoute(PolicySettings settings, PolicyActions actions) {
+    public RandomRoutingPolicy(PolicySettings settings, PolicyActions actions) {
         this.settings = settings;
         act = actions;
         random = new SplittableRandom(settings.seed());
--- a/src/main/java/damsonseam/standin/Scenario.java
+++ b/src/main/java/damsonseam/standin/Scenario.java
@@ -27,7 +27,7 @@
         Load load,
         Directory directory,
         TimeSpan cycle,
-        List<Trouble> troubles) {
+        List<Fault> troubles) {
 
     /** Checks and defaults. */
     public Scenario {
@@ -51,14 +51,14 @@
     }
 
     /** The callers: first tries a second, and their classes. */
-    public record Load(Double callsPerS, List<Kind> classes) {
+    public record Load(Double callsPerS, List<CallerClass> classes) {
         /** Checks and defaults: nine cheap calls of ten and a dear one. */
         public Load {
             callsPerS = Preconditions.requireInRange(Preconditions.orDefault(callsPerS, 240.0), 0.01, 1e6, "callsPerS");
             classes = Preconditions.orDefault(
                     classes,
                     List.of(
-                            new Kind(
+                            new CallerClass(
                                     "simulacion",
                                     "59821",
                                     0.94,
@@ -69,7 +69,7 @@
                                     0.25,
                                     TimeSpan.parse("8.5 s"),
                                     2),
-                            new Kind(
+                            new CallerClass(
                                     "tasacion-firma",
                                     "59828",
                                     0.06,
@@ -97,7 +97,7 @@
      * @param hold mean length of a call
      * @param redials further tries at most
      */
-    public record Kind(
+    public record CallerClass(
             String name,
             String prefix,
             Double share,
@@ -109,7 +109,7 @@
             TimeSpan hold,
             Integer redials) {
         /** Checks and defaults. */
-        public Kind {
+        public CallerClass {
             Preconditions.requirePresent(name, "name");
             Preconditions.require(
                     Preconditions.requirePresent(prefix, "prefix").matches("\\d{1,10}"),
@@ -135,7 +135,7 @@
     }
 
     /** The kinds of trouble. */
-    public enum TroubleKind {
+    public enum FaultKind {
         /** Processes die, calls are cut, they come back cold after the time. */
         @JsonProperty("crash")
         CRASH,
@@ -194,17 +194,16 @@
      *
      * @param kind what goes wrong
      * @param at when it begins
-     * @param lasts how long it lasts
+     * @param duration how long it lasts
      * @param part of the calculators, fronts or authorities that it strikes, one at least
      * @param size how bad, see the kind
      */
-    public record Trouble(
-            TroubleKind kind, TimeSpan at, @JsonProperty("for") TimeSpan lasts, Double part, Double size) {
+    public record Fault(FaultKind kind, TimeSpan at, @JsonProperty("for") TimeSpan duration, Double part, Double size) {
         /** Checks and defaults. */
-        public Trouble {
+        public Fault {
             Preconditions.requirePresent(kind, "kind");
             Preconditions.requirePresent(at, "at");
-            lasts = Preconditions.orDefault(lasts, TimeSpan.ms(10_000));
+            duration = Preconditions.orDefault(duration, TimeSpan.ms(10_000));
             part = Preconditions.requireInRange(Preconditions.orDefault(part, 0.1), 0, 1, "part");
             size = Preconditions.requireInRange(Preconditions.orDefault(size, 2.0), 0, 1e6, "size");
         }
--- a/src/main/java/damsonseam/standin/Surroundings.java
+++ b/src/main/java/damsonseam/standin/SimulatedPeers.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** All that surrounds the fronts of a scenario, on loopback: calculators, authorities, directory, callers. */
-public final class Surroundings implements AutoCloseable {
+public final class SimulatedPeers implements AutoCloseable {
     /** The domain of the numbers. */
     public static final String SUFFIX = "e164.example.org";
 
@@ -36,12 +36,12 @@
     private final List<WireLog> logs = new ArrayList<>();
     private final DirectoryServer directory;
     private final Endpoint directoryAddress;
-    private final Callers callers;
+    private final CallGenerator callers;
     private final WireLog events;
     private boolean closed;
 
     /** Starts all; wire logs go to {@code wire}, or nowhere if it is null. */
-    public Surroundings(Scenario scenario, Path wire) throws IOException, InterruptedException {
+    public SimulatedPeers(Scenario scenario, Path wire) throws IOException, InterruptedException {
         this.scenario = scenario;
         long origin = System.nanoTime();
         // One loop each for callers and authorities, two for calculators: none waits for another's work.
@@ -52,13 +52,13 @@
         WireLog directoryLog = log(wire, "directory", origin);
         events = log(wire, "events", origin);
         EventLoop callerLoop = (EventLoop) group.next();
-        List<Callers.Kind> kinds = new ArrayList<>();
-        for (Scenario.Kind k : scenario.load().classes()) {
-            kinds.add(new Callers.Kind(
+        List<CallGenerator.CallerClass> kinds = new ArrayList<>();
+        for (Scenario.CallerClass k : scenario.load().classes()) {
+            kinds.add(new CallGenerator.CallerClass(
                     k.prefix(), k.share(), k.aim().ms(), k.patience().ms(), k.worth(), k.lateShare(), k.redials()));
         }
         int count = scenario.calculators().count();
-        callers = new Callers(callerLoop, SUFFIX, kinds, r -> r.nextInt(count), seeds.nextLong(), callerLog);
+        callers = new CallGenerator(callerLoop, SUFFIX, kinds, r -> r.nextInt(count), seeds.nextLong(), callerLog);
         EventLoop[] calculatorLoops = {(EventLoop) group.next(), (EventLoop) group.next()};
         directory = new DirectoryServer(
                 scenario.directory().notice().ms() > 0
@@ -73,7 +73,7 @@
                     calculatorLoops[i % 2],
                     seeds.nextLong(),
                     this::meanHold,
-                    callers::cut,
+                    callers::onCallDropped,
                     calculatorLog);
             c.start(ANY_PORT, false);
             calculators.add(c);
@@ -88,7 +88,7 @@
         InetSocketAddress at = directory.start(ANY_PORT);
         directoryAddress = new Endpoint(at.getHostString(), at.getPort());
         for (int i = 0; i < count; i++) {
-            directory.setNow(listed(i), State.RUNNING);
+            directory.updateNow(directoryEntry(i), State.RUNNING);
         }
     }
 
@@ -108,7 +108,7 @@
     /** The first choice is in the number, the others follow it. */
     private List<String> hosts(String number) {
         int count = scenario.calculators().count();
-        for (Scenario.Kind kind : scenario.load().classes()) {
+        for (Scenario.CallerClass kind : scenario.load().classes()) {
             if (number.startsWith(kind.prefix())
                     && number.length() == kind.prefix().length() + 9) {
                 int first = Integer.parseInt(
@@ -140,7 +140,7 @@
     public FrontSettings frontSettings(int ordinal, Endpoint listen) {
         List<FrontSettings.CallClassSettings> classes = new ArrayList<>();
         List<FrontSettings.NumberRange> numbers = new ArrayList<>();
-        for (Scenario.Kind k : scenario.load().classes()) {
+        for (Scenario.CallerClass k : scenario.load().classes()) {
             classes.add(new FrontSettings.CallClassSettings(k.name(), k.aim(), k.deadline(), k.worth(), k.lateShare()));
             numbers.add(new FrontSettings.NumberRange(k.prefix(), k.name(), k.patience()));
         }
@@ -196,9 +196,10 @@
     }
 
     /** A calculator as the directory lists it. */
-    public DirectoryServer.Listed listed(int i) {
+    public DirectoryServer.CalculatorEntry directoryEntry(int i) {
         Calculator c = calculators.get(i);
-        return new DirectoryServer.Listed(c.id(), i, "127.0.0.1:" + c.address().getPort(), c.pointCode());
+        return new DirectoryServer.CalculatorEntry(
+                c.id(), i, "127.0.0.1:" + c.address().getPort(), c.pointCode());
     }
 
     /** The calculators. */
@@ -227,12 +228,12 @@
     }
 
     /** The callers. */
-    public Callers callers() {
+    public CallGenerator callers() {
         return callers;
     }
 
     /** Writes an event that no socket shows into the wire logs. */
-    public void event(String to, String what, String detail) {
+    public void logEvent(String to, String what, String detail) {
         if (events != null) {
             events.write("scenario", to, what, detail.getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         }
--- a/src/test/java/damsonseam/day/DayTest.java
+++ b/src/test/java/damsonseam/day/ScenarioRunTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The CI version of a bad day: seconds long, all kinds of parts, rules checked from the wire. */
-class DayTest {
+class ScenarioRunTest {
     private static final String SHORT =
             """
             name: short
@@ -33,7 +33,7 @@
     @Test
     void aShortBadDayKeepsTheRules(@TempDir Path out) throws Exception {
         Scenario scenario = Yaml.parse("short", SHORT, Scenario.class);
-        Day.Result result = Day.run(scenario, Day.Decider.MODULE, out, false);
+        ScenarioRun.Result result = ScenarioRun.run(scenario, ScenarioRun.Decider.MODULE, out, false);
         assertEquals(0, result.audit().violations(), result.audit().findings().toString());
         assertTrue(result.audit().calls() > 500, "calls " + result.audit().calls());
         assertEquals(result.audit().calls(), result.audit().resolved());
@@ -41,8 +41,8 @@
                 result.audit().stood() > result.audit().calls() / 3,
                 "stood " + result.audit().stood());
         assertTrue(result.audit().setUps() >= result.audit().stood());
-        assertEquals(0, result.fallen());
+        assertEquals(0, result.collapsedCalculators());
         // One calculator of four crashes and one is replaced: what the end of the day takes down is not counted.
-        assertTrue(result.totals().cut < result.totals().calls * 2 / 3, "cut " + result.totals().cut);
+        assertTrue(result.totals().dropped < result.totals().calls * 2 / 3, "cut " + result.totals().dropped);
     }
 }
--- a/src/test/java/damsonseam/day/DaySearchTest.java
+++ b/src/test/java/damsonseam/day/ScenarioSearchTest.java
@@ -29,10 +29,10 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 
-class DaySearchTest {
+class ScenarioSearchTest {
 
     private static Scenario standard() throws Exception {
-        try (var in = DaySearchTest.class.getResourceAsStream("/bad-day.yaml")) {
+        try (var in = ScenarioSearchTest.class.getResourceAsStream("/bad-day.yaml")) {
             return Yaml.parse("bad-day.yaml", new String(in.readAllBytes(), StandardCharsets.UTF_8), Scenario.class);
         }
     }
@@ -43,8 +43,8 @@
 
     @Test
     void theFirstDayIsTheGivenOneAndAllAreDrawnBySeedWithinBounds() throws Exception {
-        DaySearch one = new DaySearch(standard());
-        DaySearch other = new DaySearch(standard());
+        ScenarioSearch one = new ScenarioSearch(standard());
+        ScenarioSearch other = new ScenarioSearch(standard());
         Scenario first = one.next();
         assertEquals(standard(), first);
         other.next();
@@ -55,29 +55,29 @@
             assertTrue(day.fronts() >= 2 && day.fronts() <= 24);
             assertTrue(day.load().callsPerS() <= 2_000);
             assertTrue(day.troubles().stream().allMatch(t -> t.part() <= 1 && t.size() > 0));
-            one.played(day, left(1_000 - i, 500));
-            other.played(day, left(1_000 - i, 500));
+            one.recordResult(day, left(1_000 - i, 500));
+            other.recordResult(day, left(1_000 - i, 500));
         }
-        assertEquals(500, one.leastLeft());
+        assertEquals(500, one.minTimeLeftMs());
     }
 
     /** Most days go on from the one that came nearest to a broken rule. */
     @Test
     void goesOnFromTheHardest() throws Exception {
-        DaySearch search = new DaySearch(standard());
-        search.played(search.next(), left(900, 900));
+        ScenarioSearch search = new ScenarioSearch(standard());
+        search.recordResult(search.next(), left(900, 900));
         Scenario hard = null;
         for (int i = 0; i < 50 && hard == null; i++) {
             Scenario day = search.next();
             hard = day.fronts() > 10 ? day : null;
         }
-        search.played(hard, left(3, 900));
+        search.recordResult(hard, left(3, 900));
         int from = 0;
         for (int i = 0; i < 100; i++) {
             from += search.next().name().startsWith(hard.name() + "-") ? 1 : 0;
         }
         assertTrue(from > 40 && from < 80, from + " of 100 from the hardest");
-        assertEquals(3, search.leastLeft());
+        assertEquals(3, search.minTimeLeftMs());
     }
 
     @Test
--- a/src/test/java/damsonseam/front/FrontOverloadTest.java
+++ b/src/test/java/damsonseam/front/FrontOverloadTest.java
@@ -16,7 +16,7 @@
 import damsonseam.load.Profile;
 import damsonseam.standin.CalculatorSettings;
 import damsonseam.standin.Scenario;
-import damsonseam.standin.Surroundings;
+import damsonseam.standin.SimulatedPeers;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.net.DatagramPacket;
@@ -40,14 +40,14 @@
 /** A real front on loopback sockets that is asked for more than it can do. */
 class FrontOverloadTest {
     private static final int MOST_CONNECTIONS = 3;
-    private Surroundings around;
+    private SimulatedPeers around;
     private FrontServer front;
 
     @BeforeEach
     void start() throws Exception {
         CalculatorSettings fast =
                 new CalculatorSettings(2_000.0, null, null, null, null, 20_000, null, null, null, null, null);
-        around = new Surroundings(
+        around = new SimulatedPeers(
                 new Scenario(
                         "test",
                         null,
@@ -86,7 +86,7 @@
         Message query = new Message(id);
         query.addRecord(
                 Record.newRecord(
-                        E164Name.toName(number, E164Name.parseSuffix(Surroundings.SUFFIX)), Type.NAPTR, DClass.IN),
+                        E164Name.toName(number, E164Name.parseSuffix(SimulatedPeers.SUFFIX)), Type.NAPTR, DClass.IN),
                 Section.QUESTION);
         query.addRecord(
                 new OPTRecord(1232, 0, 0, 0, List.of(new EdnsCallOption(false, 2_100).toOption())), Section.ADDITIONAL);
@@ -152,7 +152,7 @@
                 new LoadPlan.Kind("tasacion-firma", "59828", 1, 1_200, 2_200, 8, 0.25));
         LoadResult result = Load.run(new LoadPlan(
                 List.of(front.enumAddress()),
-                Surroundings.SUFFIX,
+                SimulatedPeers.SUFFIX,
                 kinds,
                 Profile.burst(200, 10, 1, 2),
                 3,
--- a/src/test/java/damsonseam/front/FrontServerTest.java
+++ b/src/test/java/damsonseam/front/FrontServerTest.java
@@ -14,7 +14,7 @@
 import damsonseam.ss7.M3uaMessage;
 import damsonseam.standin.DnsAuthority;
 import damsonseam.standin.Scenario;
-import damsonseam.standin.Surroundings;
+import damsonseam.standin.SimulatedPeers;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.net.DatagramPacket;
@@ -42,7 +42,7 @@
 /** A real front on loopback sockets with its stand-ins. */
 class FrontServerTest {
     private static final Duration LONG = Duration.ofSeconds(20);
-    private Surroundings around;
+    private SimulatedPeers around;
     private FrontServer front;
     private int nextId = 1;
 
@@ -58,7 +58,7 @@
                 new Scenario.Directory(damsonseam.config.TimeSpan.ms(0), null),
                 null,
                 null);
-        around = new Surroundings(scenario, null);
+        around = new SimulatedPeers(scenario, null);
         front = FrontServer.start(around.frontSettings(0, new Endpoint("127.0.0.1", 0)), true);
         assertTrue(front.awaitReady(20_000));
     }
@@ -77,7 +77,7 @@
         Message query = new Message(nextId++);
         query.addRecord(
                 Record.newRecord(
-                        E164Name.toName(number, E164Name.parseSuffix(Surroundings.SUFFIX)), Type.NAPTR, DClass.IN),
+                        E164Name.toName(number, E164Name.parseSuffix(SimulatedPeers.SUFFIX)), Type.NAPTR, DClass.IN),
                 Section.QUESTION);
         query.addRecord(
                 new OPTRecord(1232, 0, 0, 0, List.of(new EdnsCallOption(false, 2_900).toOption())), Section.ADDITIONAL);
@@ -148,7 +148,7 @@
 
     @Test
     void aClosedTcpConnectionTakesItsCallsAlong() throws Exception {
-        around.calculators().forEach(c -> c.freeze());
+        around.calculators().forEach(c -> c.pause());
         try (Socket socket =
                 new Socket(front.enumAddress().getAddress(), front.enumAddress().getPort())) {
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
@@ -189,9 +189,9 @@
         byte[] noise = new byte[4_000];
         random.nextBytes(noise);
         around.calculators().get(1).sendRaw(noise);
-        around.authorities().forEach(a -> a.mood(DnsAuthority.Mood.GARBAGE));
+        around.authorities().forEach(a -> a.setResponseMode(DnsAuthority.ResponseMode.MALFORMED));
         assertEquals("SERVFAIL", call(0, 9));
-        around.authorities().forEach(a -> a.mood(DnsAuthority.Mood.WELL));
+        around.authorities().forEach(a -> a.setResponseMode(DnsAuthority.ResponseMode.NORMAL));
         // The links whose frames could not be told apart any more were closed and are made again.
         await().atMost(LONG).until(() -> call(0, 10 + nextId).startsWith("calc-"));
     }
@@ -199,7 +199,7 @@
     @Test
     void drainNewsOfTheDirectoryIsFollowed() throws Exception {
         assertEquals("calc-00.example.org", call(0, 1));
-        around.directory().set(around.listed(0), State.DRAINING, false);
+        around.directory().updateDelayed(around.directoryEntry(0), State.DRAINING, false);
         await().atMost(LONG).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
         for (int i = 0; i < 5; i++) {
             assertNotEquals("calc-00.example.org", call(0, 100 + i));
@@ -209,10 +209,10 @@
     @Test
     void aDestinationToldUnavailableIsLeftUntilItIsToldAvailable() throws Exception {
         assertEquals("calc-00.example.org", call(0, 1));
-        around.calculators().get(0).tell(M3uaMessage.Kind.DUNA, 0);
+        around.calculators().get(0).sendDestinationState(M3uaMessage.Kind.DUNA, 0);
         await().atMost(LONG).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
-        around.calculators().get(0).tell(M3uaMessage.Kind.SCON, 2);
-        around.calculators().get(0).tell(M3uaMessage.Kind.DAVA, 0);
+        around.calculators().get(0).sendDestinationState(M3uaMessage.Kind.SCON, 2);
+        around.calculators().get(0).sendDestinationState(M3uaMessage.Kind.DAVA, 0);
         await().atMost(LONG).until(() -> call(0, 50 + nextId).equals("calc-00.example.org"));
     }
 
@@ -221,7 +221,7 @@
         around.directory().crash();
         assertEquals("calc-00.example.org", call(0, 1));
         around.directory().start(null);
-        around.directory().setNow(around.listed(0), State.GONE);
+        around.directory().updateNow(around.directoryEntry(0), State.GONE);
         await().atMost(LONG).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
     }
 
@@ -241,17 +241,17 @@
 
     @Test
     void authoritiesThatFailInTurnDoNotCostTheCall() throws Exception {
-        around.authorities().get(0).mood(DnsAuthority.Mood.LAME);
-        around.authorities().get(1).mood(DnsAuthority.Mood.TRUNCATING);
+        around.authorities().get(0).setResponseMode(DnsAuthority.ResponseMode.LAME);
+        around.authorities().get(1).setResponseMode(DnsAuthority.ResponseMode.TRUNCATED);
         assertEquals("calc-01.example.org", call(1, 21));
-        around.authorities().get(0).mood(DnsAuthority.Mood.SILENT);
-        around.authorities().get(1).mood(DnsAuthority.Mood.FORGED);
+        around.authorities().get(0).setResponseMode(DnsAuthority.ResponseMode.SILENT);
+        around.authorities().get(1).setResponseMode(DnsAuthority.ResponseMode.FORGED);
         assertEquals("calc-01.example.org", call(1, 22));
     }
 
     @Test
     void drainingAnswersWhatIsOpenAndThenEnds() throws Exception {
-        around.calculators().forEach(c -> c.slow(10));
+        around.calculators().forEach(c -> c.setSlowdown(10));
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.setSoTimeout(10_000);
             byte[] question = question(number(0, 1));
