--- a/src/main/java/damsonseam/ss7/AspSession.java
+++ b/src/main/java/damsonseam/ss7/AspSession.java
@@ -9,19 +9,22 @@
 import java.util.Map;
 
 /**
- * The state of one signalling connection as the application server process sees it (RFC 4666 4.3): up, then
- * active, then traffic. Heartbeats find a connection that is dead without a word; a BEAT is also the probe of
- * a calculator. Time is passed in; what goes out goes through {@link Output}.
+ * The ASP side of one M3UA connection (RFC 4666 section 4.3): brings the ASP up, then active, after which traffic may
+ * flow. Heartbeats detect a connection that failed without being closed; a BEAT also serves as the probe of a
+ * calculator.
+ *
+ * <p>Not thread-safe. The session has no clock and no socket: the caller supplies the time, in milliseconds, and
+ * messages leave through {@link Output}. The count of outstanding probes is bounded.
  */
 public final class AspSession {
-    /** Time before ASPUP and ASPAC are repeated (RFC 4666 4.3.4.1: T(ack), 2 s). */
-    private static final double T_ACK = 2_000;
-    /** Repeats before the connection is given up. */
-    private static final int REPEATS = 3;
-    /** Probes waiting for their answers at one time; one more is answered as failed at once. */
-    private static final int MOST_PROBES = 64;
+    /** Time after which an unacknowledged ASPUP or ASPAC is sent again (RFC 4666 section 4.3.4.1: T(ack), 2 s). */
+    private static final double T_ACK_MS = 2_000;
+    /** Retransmissions of an ASPUP or ASPAC before the connection is closed. */
+    private static final int MAX_RETRANSMISSIONS = 3;
+    /** Maximum count of outstanding probes; a further one fails at once. */
+    private static final int MAX_OUTSTANDING_PROBES = 64;
 
-    /** Where the session is. */
+    /** The state of the ASP, as far as this side knows it. */
     public enum State {
         DOWN,
         GOING_UP,
@@ -29,90 +32,97 @@
         ACTIVE
     }
 
-    /** What a session asks of its connection and tells its owner. */
+    /** Sends messages and receives the events of a session. */
     public interface Output {
         /** Sends a message. */
         void send(M3uaMessage message);
 
-        /** Closes the connection: the far end does not do its part. */
-        void close(String why);
+        /** Closes the connection because the far end does not respond as it must. */
+        void close(String reason);
 
-        /** Traffic may flow. */
+        /** Called when the ASP became active and traffic may flow. */
         void onActive();
 
-        /** The state of the far destination changed: whether it can be reached, and its congestion level. */
+        /** Called when the far point code became available, unavailable or congested (level 0 to 3). */
         void onDestinationState(boolean reachable, int congestionLevel);
 
-        /** A DATA came. */
+        /** Called for each DATA message. */
         void onData(ProtocolData data);
 
-        /** A probe was answered, or not in time. */
-        void onProbeResult(boolean answered, double delay);
+        /** Called once for each probe, when it was answered or failed after {@code delayMs}. */
+        void onProbeResult(boolean answered, double delayMs);
     }
 
     private final Output out;
     private final TimerWheel timers;
     private final int aspIdentifier;
     private final int farPointCode;
-    private final double probeTimeout;
-    private final double heartbeat;
-    private final Map<Long, Double> probes = new LinkedHashMap<>();
+    private final double probeTimeoutMs;
+    private final double heartbeatMs;
+    private final Map<Long, Double> probesSentAt = new LinkedHashMap<>();
     private final Map<Long, TimerWheel.Timer> probeTimers = new HashMap<>();
     private State state = State.DOWN;
-    private int repeats;
+    private int retransmissions;
     private TimerWheel.Timer ackTimer;
-    private TimerWheel.Timer beatTimer;
-    private long nextBeat = 1;
-    private boolean heardSinceBeat;
-    private int silentBeats;
+    private TimerWheel.Timer heartbeatTimer;
+    private long nextHeartbeatId = 1;
+    private boolean receivedSinceHeartbeat;
+    private int silentHeartbeats;
     private boolean reachable = true;
     private int congestionLevel;
 
     /**
-     * A session that is down.
+     * Creates a session that is down.
      *
-     * @param probeTimeout time in which a probe must be answered, in milliseconds
-     * @param heartbeat time between heartbeats on a quiet connection, 0 for none
+     * @param aspIdentifier ASP identifier sent with ASPUP
+     * @param farPointCode point code whose availability this session follows
+     * @param probeTimeoutMs time after which an unanswered probe has failed, in milliseconds
+     * @param heartbeatMs interval of heartbeats, in milliseconds; 0 for none
      */
     public AspSession(
-            Output out, TimerWheel timers, int aspIdentifier, int farPointCode, double probeTimeout, double heartbeat) {
+            Output out,
+            TimerWheel timers,
+            int aspIdentifier,
+            int farPointCode,
+            double probeTimeoutMs,
+            double heartbeatMs) {
         this.out = out;
         this.timers = timers;
         this.aspIdentifier = aspIdentifier;
         this.farPointCode = farPointCode;
-        this.probeTimeout = probeTimeout;
-        this.heartbeat = heartbeat;
+        this.probeTimeoutMs = probeTimeoutMs;
+        this.heartbeatMs = heartbeatMs;
     }
 
-    /** The connection was made. */
+    /** Starts the session on a new connection. */
     public void onConnected(double now) {
         reachable = true;
         congestionLevel = 0;
-        silentBeats = 0;
-        go(State.GOING_UP, now);
+        silentHeartbeats = 0;
+        enter(State.GOING_UP, now);
     }
 
-    /** The connection is gone; probes still out have failed. */
+    /** Ends the session with its connection; outstanding probes fail. */
     public void onClosed(double now) {
         state = State.DOWN;
         timers.cancel(ackTimer);
-        timers.cancel(beatTimer);
+        timers.cancel(heartbeatTimer);
         ackTimer = null;
-        beatTimer = null;
+        heartbeatTimer = null;
         probeTimers.values().forEach(timers::cancel);
         probeTimers.clear();
-        Map<Long, Double> lost = new LinkedHashMap<>(probes);
-        probes.clear();
-        lost.values().forEach(sentAt -> out.onProbeResult(false, now - sentAt));
+        Map<Long, Double> failed = new LinkedHashMap<>(probesSentAt);
+        probesSentAt.clear();
+        failed.values().forEach(sentAt -> out.onProbeResult(false, now - sentAt));
     }
 
-    private void go(State to, double now) {
+    private void enter(State to, double now) {
         state = to;
-        repeats = 0;
-        sendForState(now);
+        retransmissions = 0;
+        sendStateRequest(now);
     }
 
-    private void sendForState(double now) {
+    private void sendStateRequest(double now) {
         timers.cancel(ackTimer);
         ackTimer = null;
         if (state == State.GOING_UP) {
@@ -122,66 +132,72 @@
         } else {
             return;
         }
-        ackTimer = timers.schedule(now + T_ACK, at -> {
-            if (++repeats > REPEATS) {
+        ackTimer = timers.schedule(now + T_ACK_MS, at -> {
+            if (++retransmissions > MAX_RETRANSMISSIONS) {
                 out.close("no acknowledgement in " + state);
             } else {
-                sendForState(at);
+                sendStateRequest(at);
             }
         });
     }
 
-    /** A message came; one that may not come now is answered with an ERR and changes nothing. */
+    /**
+     * Handles a message.
+     *
+     * @throws SignallingProtocolException if the message is malformed or not expected in this state; it then changes
+     *     nothing, and the caller answers it with an ERR
+     */
     public void onMessage(double now, M3uaMessage message) throws SignallingProtocolException {
-        heardSinceBeat = true;
+        receivedSinceHeartbeat = true;
         switch (message.kind()) {
             case ASPUP_ACK -> {
                 if (state == State.GOING_UP) {
-                    go(State.GOING_ACTIVE, now);
+                    enter(State.GOING_ACTIVE, now);
                 } else if (state == State.ACTIVE) {
-                    // An ack that was not asked for: the far end lost our state (RFC 4666 4.3.4.1).
-                    go(State.GOING_ACTIVE, now);
+                    // An unexpected ASP Up Ack: the far end has lost the ASP state (RFC 4666 section 4.3.4.1).
+                    enter(State.GOING_ACTIVE, now);
                 }
             }
             case ASPAC_ACK -> {
                 if (state == State.GOING_ACTIVE) {
-                    go(State.ACTIVE, now);
+                    enter(State.ACTIVE, now);
                     out.onActive();
-                    scheduleBeat(now);
+                    scheduleHeartbeat(now);
                 }
             }
             case ASPDN_ACK -> {
                 if (state != State.DOWN) {
-                    go(State.GOING_UP, now);
+                    enter(State.GOING_UP, now);
                 }
             }
             case ASPIA_ACK -> {
                 if (state == State.ACTIVE) {
-                    go(State.GOING_ACTIVE, now);
+                    enter(State.GOING_ACTIVE, now);
                 }
             }
             case BEAT -> out.send(new M3uaMessage(Kind.BEAT_ACK, message.parameters()));
-            case BEAT_ACK -> beatAck(now, message);
+            case BEAT_ACK -> onHeartbeatAck(now, message);
             case DATA -> {
                 if (state != State.ACTIVE) {
-                    throw new SignallingProtocolException(M3uaMessage.UNEXPECTED_MESSAGE, "DATA while " + state);
+                    throw new SignallingProtocolException(M3uaMessage.UNEXPECTED_MESSAGE, "DATA in state " + state);
                 }
                 out.onData(ProtocolData.from(message));
             }
-            case DUNA, DAVA, SCON, DRST -> destination(message);
+            case DUNA, DAVA, SCON, DRST -> onDestinationMessage(message);
             case ERR, NTFY, DUPU -> {}
             default ->
-                throw new SignallingProtocolException(M3uaMessage.UNEXPECTED_MESSAGE, message.kind() + " at an ASP");
+                throw new SignallingProtocolException(
+                        M3uaMessage.UNEXPECTED_MESSAGE, message.kind() + " received by an ASP");
         }
     }
 
-    private void destination(M3uaMessage message) throws SignallingProtocolException {
+    private void onDestinationMessage(M3uaMessage message) throws SignallingProtocolException {
         byte[] affected = message.parameterValue(M3uaMessage.AFFECTED_POINT_CODE);
         if (affected == null) {
             throw new SignallingProtocolException(
-                    M3uaMessage.MISSING_PARAMETER, message.kind() + " without a point code");
+                    M3uaMessage.MISSING_PARAMETER, message.kind() + " without affected point code");
         }
-        if (!covers(affected)) {
+        if (!includesFarPointCode(affected)) {
             return;
         }
         switch (message.kind()) {
@@ -195,17 +211,18 @@
         out.onDestinationState(reachable, congestionLevel);
     }
 
-    /** Whether one of the listed point codes, each under a mask of its low bits, is the far one. */
-    private boolean covers(byte[] affected) throws SignallingProtocolException {
+    /** Returns whether the far point code is in the list, whose entries may mask low-order bits. */
+    private boolean includesFarPointCode(byte[] affected) throws SignallingProtocolException {
         if (affected.length % Integer.BYTES != 0) {
             throw new SignallingProtocolException(
-                    M3uaMessage.PARAMETER_FIELD_ERROR, "point codes of " + affected.length + " octets");
+                    M3uaMessage.PARAMETER_FIELD_ERROR,
+                    "affected point code parameter of " + affected.length + " octets");
         }
         ByteBuffer in = ByteBuffer.wrap(affected);
         while (in.hasRemaining()) {
-            int entry = in.getInt();
-            int mask = Math.min(24, entry >>> 24);
-            if ((entry & 0xffffff) >> mask == farPointCode >> mask) {
+            int maskAndPointCode = in.getInt();
+            int maskedBits = Math.min(24, maskAndPointCode >>> 24);
+            if ((maskAndPointCode & 0xffffff) >> maskedBits == farPointCode >> maskedBits) {
                 return true;
             }
         }
@@ -214,24 +231,24 @@
 
     // ---- Heartbeats -------------------------------------------------------------------------------------
 
-    /** Sends a probe; its answer comes through {@link Output#onProbeResult}. */
+    /** Sends a probe, the result of which is reported through {@link Output#onProbeResult}. */
     public void sendProbe(double now) {
-        if (state != State.ACTIVE || probes.size() >= MOST_PROBES) {
+        if (state != State.ACTIVE || probesSentAt.size() >= MAX_OUTSTANDING_PROBES) {
             timers.schedule(now, at -> out.onProbeResult(false, 0));
             return;
         }
-        long id = nextBeat++;
-        probes.put(id, now);
-        probeTimers.put(id, timers.schedule(now + probeTimeout, at -> {
+        long id = nextHeartbeatId++;
+        probesSentAt.put(id, now);
+        probeTimers.put(id, timers.schedule(now + probeTimeoutMs, at -> {
             probeTimers.remove(id);
-            if (probes.remove(id) != null) {
+            if (probesSentAt.remove(id) != null) {
                 out.onProbeResult(false, at - now);
             }
         }));
-        beat(id);
+        sendHeartbeat(id);
     }
 
-    private void beat(long id) {
+    private void sendHeartbeat(long id) {
         out.send(M3uaMessage.of(
                 Kind.BEAT,
                 new Parameter(
@@ -239,47 +256,47 @@
                         ByteBuffer.allocate(Long.BYTES).putLong(id).array())));
     }
 
-    private void beatAck(double now, M3uaMessage message) {
+    private void onHeartbeatAck(double now, M3uaMessage message) {
         byte[] data = message.parameterValue(M3uaMessage.HEARTBEAT_DATA);
         if (data == null || data.length != Long.BYTES) {
             return;
         }
         long id = ByteBuffer.wrap(data).getLong();
-        Double sentAt = probes.remove(id);
+        Double sentAt = probesSentAt.remove(id);
         if (sentAt != null) {
             timers.cancel(probeTimers.remove(id));
             out.onProbeResult(true, now - sentAt);
         }
     }
 
-    private void scheduleBeat(double now) {
-        timers.cancel(beatTimer);
-        beatTimer = heartbeat <= 0
+    private void scheduleHeartbeat(double now) {
+        timers.cancel(heartbeatTimer);
+        heartbeatTimer = heartbeatMs <= 0
                 ? null
-                : timers.schedule(now + heartbeat, at -> {
-                    // Two silent spans in a row: the far end is gone without having said so.
-                    silentBeats = heardSinceBeat ? 0 : silentBeats + 1;
-                    if (silentBeats >= 2) {
-                        out.close("no heartbeat in " + 2 * heartbeat + " ms");
+                : timers.schedule(now + heartbeatMs, at -> {
+                    // Nothing was received for two intervals: the far end failed without closing the connection.
+                    silentHeartbeats = receivedSinceHeartbeat ? 0 : silentHeartbeats + 1;
+                    if (silentHeartbeats >= 2) {
+                        out.close("no heartbeat in " + 2 * heartbeatMs + " ms");
                         return;
                     }
-                    heardSinceBeat = false;
-                    beat(nextBeat++);
-                    scheduleBeat(at);
+                    receivedSinceHeartbeat = false;
+                    sendHeartbeat(nextHeartbeatId++);
+                    scheduleHeartbeat(at);
                 });
     }
 
-    /** Whether set-ups may go out. */
+    /** Returns whether set-ups may be sent: the ASP is active and the destination available. */
     public boolean isUsable() {
         return state == State.ACTIVE && reachable;
     }
 
-    /** Where the session is. */
+    /** Returns the state of the session. */
     public State state() {
         return state;
     }
 
-    /** The congestion level last told for the destination, 0 for none. */
+    /** Returns the congestion level last reported for the destination, 0 for none. */
     public int congestionLevel() {
         return congestionLevel;
     }
--- a/src/main/java/damsonseam/ss7/CalledPartyNumber.java
+++ b/src/main/java/damsonseam/ss7/CalledPartyNumber.java
@@ -1,22 +1,22 @@
 package damsonseam.ss7;
 
-/** Called party number (ITU-T Q.763 3.9): digits two to an octet, the lower half first. */
+/** Codec of the called party number parameter (ITU-T Q.763 3.9): two digits per octet, the low-order one first. */
 public final class CalledPartyNumber {
-    private static final int MOST = 20;
-    private static final int INTERNATIONAL = 4;
-    private static final int PLAN_E164 = 0x10;
+    private static final int MAX_DIGITS = 20;
+    private static final int NATURE_INTERNATIONAL = 4;
+    private static final int NUMBERING_PLAN_E164 = 0x10;
 
     private CalledPartyNumber() {}
 
-    /** The octets of an international E.164 number. */
+    /** Encodes an international E.164 number. */
     public static byte[] encode(String number) {
-        if (number.isEmpty() || number.length() > MOST || !number.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new IllegalArgumentException("a number has 1 to " + MOST + " digits: " + number);
+        if (number.isEmpty() || number.length() > MAX_DIGITS || !number.chars().allMatch(c -> c >= '0' && c <= '9')) {
+            throw new IllegalArgumentException("number must have 1 to " + MAX_DIGITS + " digits: " + number);
         }
-        boolean odd = number.length() % 2 == 1;
+        boolean oddDigitCount = number.length() % 2 == 1;
         byte[] out = new byte[2 + (number.length() + 1) / 2];
-        out[0] = (byte) (INTERNATIONAL | (odd ? 0x80 : 0));
-        out[1] = PLAN_E164;
+        out[0] = (byte) (NATURE_INTERNATIONAL | (oddDigitCount ? 0x80 : 0));
+        out[1] = NUMBERING_PLAN_E164;
         for (int i = 0; i < number.length(); i++) {
             int digit = number.charAt(i) - '0';
             out[2 + i / 2] |= (byte) (i % 2 == 0 ? digit : digit << 4);
@@ -24,11 +24,11 @@
         return out;
     }
 
-    /** The digits of a called party number. */
+    /** Decodes the digits of a called party number. */
     public static String decode(byte[] in) throws SignallingProtocolException {
-        if (in.length < 3 || in.length > 2 + MOST / 2) {
+        if (in.length < 3 || in.length > 2 + MAX_DIGITS / 2) {
             throw new SignallingProtocolException(
-                    IsupMessage.PROTOCOL_ERROR, "a called number of " + in.length + " octets");
+                    IsupMessage.PROTOCOL_ERROR, "called party number of " + in.length + " octets");
         }
         int count = 2 * (in.length - 2) - ((in[0] & 0x80) != 0 ? 1 : 0);
         StringBuilder out = new StringBuilder(count);
@@ -39,7 +39,7 @@
             }
             if (digit > 9) {
                 throw new SignallingProtocolException(
-                        IsupMessage.PROTOCOL_ERROR, "digit " + digit + " in a called number");
+                        IsupMessage.PROTOCOL_ERROR, "digit " + digit + " in a called party number");
             }
             out.append((char) ('0' + digit));
         }
