--- a/src/main/java/damsonseam/ss7/IsupMessage.java
+++ b/src/main/java/damsonseam/ss7/IsupMessage.java
@@ -5,65 +5,70 @@
 import java.util.List;
 
 /**
- * One ISUP message (ITU-T Q.763 1): circuit, type, and its parameters, read and written by one table of what
- * each type holds, so that both ways agree.
+ * One ISUP message (ITU-T Q.763 section 1): circuit, type and parameters. Encoding and decoding share one table of the
+ * parameters of each message type, so that they agree.
  *
  * @param circuit circuit identification code
- * @param type what it is
- * @param parameters mandatory ones first, in the table's order, then the optional ones
+ * @param type message type
+ * @param parameters the mandatory parameters in the order of the table, then the optional ones
  */
 public record IsupMessage(int circuit, Type type, List<Parameter> parameters) {
-    /** Parameter codes (Q.763 table 5). */
+    /** Parameter codes (Q.763 table 5); this one: end of optional parameters. */
     public static final int END_OF_OPTIONAL_PARAMETERS = 0x00;
-    /** Three octets of call identity and two of a point code. */
+    /** Call reference: three octets of call identity, two of a point code. */
     public static final int CALL_REFERENCE = 0x01;
-    /** Speech, unrestricted and so on. */
+    /** Transmission medium requirement: speech, unrestricted and so on. */
     public static final int TRANSMISSION_MEDIUM_REQUIREMENT = 0x02;
-    /** The digits called. */
+    /** Called party number, see {@link CalledPartyNumber}. */
     public static final int CALLED_PARTY_NUMBER = 0x04;
-    /** Satellite, continuity check and so on. */
+    /** Nature of connection indicators: satellite, continuity check and so on. */
     public static final int NATURE_OF_CONNECTION_INDICATORS = 0x06;
-    /** How the call may be carried. */
+    /** Forward call indicators: how the call may be carried. */
     public static final int FORWARD_CALL_INDICATORS = 0x07;
-    /** What kind of caller it is. */
+    /** Calling party's category. */
     public static final int CALLING_PARTYS_CATEGORY = 0x09;
-    /** How the called side answers. */
+    /** Backward call indicators: properties of the called side. */
     public static final int BACKWARD_CALL_INDICATORS = 0x11;
-    /** Why a circuit is released. */
+    /** Cause indicators: why a circuit is released. */
     public static final int CAUSE_INDICATORS = 0x12;
-    /** CircuitAllocator that a group message is about. */
+    /** Range and status: the circuits of a group message. */
     public static final int RANGE_AND_STATUS = 0x16;
-    /** What a CPG tells. */
+    /** Event information of a CPG. */
     public static final int EVENT_INFORMATION = 0x24;
-    /** How congested the sender is, 1 or 2. */
+    /** Automatic congestion level of the sender, 1 or 2. */
     public static final int AUTOMATIC_CONGESTION_LEVEL = 0x27;
     /** A calculator's load report (national use), see {@link LoadReportParameter}. */
     public static final int LOAD_REPORT = 0xfa;
 
-    /** Causes (ITU-T Q.850). */
+    /** Cause values (ITU-T Q.850); this one: normal call clearing. */
     public static final int NORMAL_CLEARING = 16;
-    /** All lines of the number are in use. */
+    /** User busy: all lines of the number are in use. */
     public static final int USER_BUSY = 17;
-    /** No circuit is available. */
+    /** No circuit or channel available. */
     public static final int NO_CIRCUIT_AVAILABLE = 34;
-    /** A signalling fault that is thought to pass. */
+    /** Temporary failure, expected to pass soon. */
     public static final int TEMPORARY_FAILURE = 41;
-    /** The processor turns set-ups away. */
+    /** Switching equipment congestion: the processor rejects set-ups. */
     public static final int SWITCHING_EQUIPMENT_CONGESTION = 42;
-    /** The message does not exist or is not known here. */
+    /** Message type non-existent or not implemented. */
     public static final int MESSAGE_TYPE_UNKNOWN = 97;
-    /** The sender gave up waiting. */
+    /** Recovery on timer expiry: the sender stopped waiting. */
     public static final int RECOVERY_ON_TIMER_EXPIRY = 102;
-    /** Anything else that is wrong with a message. */
+    /** Protocol error, unspecified. */
     public static final int PROTOCOL_ERROR = 111;
 
-    private static final int MOST_PARAMETERS = 32;
-    private static final int MOST_POINTER = 255;
-    private static final int HEADER = 3;
+    private static final int MAX_PARAMETERS = 32;
+    /** Largest value of a pointer, which is one octet. */
+    private static final int MAX_POINTER = 255;
 
-    /** The messages in use: their code, fixed parts (code and length in turn), variable parts, optional part. */
+    private static final int HEADER_BYTES = 3;
+
+    /**
+     * The message types in use, each with its code, the mandatory fixed parameters (code and length alternating), the
+     * mandatory variable parameters, and whether it has an optional part.
+     */
     public enum Type {
-        /** Initial address: a set-up. */
+        /** Initial address: sets a call up. */
         IAM(
                 0x01,
                 new int[] {
@@ -80,7 +85,7 @@
                 true),
         /** Address complete. */
         ACM(0x06, new int[] {BACKWARD_CALL_INDICATORS, 2}, new int[0], true),
-        /** Connect: complete and answered at once. */
+        /** Connect: address complete and answer in one. */
         CON(0x07, new int[] {BACKWARD_CALL_INDICATORS, 2}, new int[0], true),
         /** Answer. */
         ANM(0x09, new int[0], new int[0], true),
@@ -94,17 +99,17 @@
         BLO(0x13, new int[0], new int[0], false),
         /** Unblocking. */
         UBL(0x14, new int[0], new int[0], false),
-        /** Blocking acknowledged. */
+        /** Blocking acknowledgement. */
         BLA(0x15, new int[0], new int[0], false),
-        /** Unblocking acknowledged. */
+        /** Unblocking acknowledgement. */
         UBA(0x16, new int[0], new int[0], false),
-        /** Group reset. */
+        /** Circuit group reset. */
         GRS(0x17, new int[0], new int[] {RANGE_AND_STATUS}, false),
-        /** Group reset acknowledged. */
+        /** Circuit group reset acknowledgement. */
         GRA(0x29, new int[0], new int[] {RANGE_AND_STATUS}, false),
         /** Call progress. */
         CPG(0x2c, new int[] {EVENT_INFORMATION, 1}, new int[0], true),
-        /** Confusion: a message that could not be understood. */
+        /** Confusion: a received message could not be processed. */
         CFN(0x2f, new int[0], new int[] {CAUSE_INDICATORS}, true);
 
         private static final Type[] BY_CODE = new Type[256];
@@ -118,25 +123,30 @@
         private final int code;
         private final int[] fixed;
         private final int[] variable;
-        private final boolean optional;
+        private final boolean hasOptionalPart;
 
-        Type(int code, int[] fixed, int[] variable, boolean optional) {
+        Type(int code, int[] fixed, int[] variable, boolean hasOptionalPart) {
             this.code = code;
             this.fixed = fixed;
             this.variable = variable;
-            this.optional = optional;
+            this.hasOptionalPart = hasOptionalPart;
         }
     }
 
-    /** One parameter: its code and its octets. */
+    /**
+     * One parameter.
+     *
+     * @param code parameter code
+     * @param value the contents, without code and length
+     */
     public record Parameter(int code, byte[] value) {}
 
-    /** A message with these parameters. */
+    /** Returns a message with the given parameters. */
     public static IsupMessage of(int circuit, Type type, Parameter... parameters) {
         return new IsupMessage(circuit, type, List.of(parameters));
     }
 
-    /** The octets of a parameter, or null. */
+    /** Returns the contents of a parameter, or null if the message has no such parameter. */
     public byte[] parameterValue(int code) {
         for (Parameter p : parameters) {
             if (p.code() == code) {
@@ -146,59 +156,59 @@
         return null;
     }
 
-    /** The octets of the message, from the circuit identification code on. */
+    /** Encodes the message, starting with the circuit identification code. */
     public byte[] encode() {
         ByteArrayOutputStream out = new ByteArrayOutputStream(48);
         out.write(circuit);
         out.write(circuit >> 8);
         out.write(type.code);
         for (int i = 0; i < type.fixed.length; i += 2) {
-            byte[] value = mandatory(type.fixed[i]);
+            byte[] value = mandatoryValue(type.fixed[i]);
             if (value.length != type.fixed[i + 1]) {
                 throw new IllegalArgumentException(type + ": parameter " + type.fixed[i] + " has " + value.length
                         + " octets, expected " + type.fixed[i + 1]);
             }
             out.writeBytes(value);
         }
-        // Pointers count from their own octet to the length octet of what they point to (Q.763 1.5).
-        int pointers = type.variable.length + (type.optional ? 1 : 0);
-        int offset = pointers;
+        // A pointer is the distance from its own octet to the length octet of its parameter (Q.763 1.5).
+        int pointerCount = type.variable.length + (type.hasOptionalPart ? 1 : 0);
+        int offset = pointerCount;
         for (int i = 0; i < type.variable.length; i++) {
             out.write(offset - i);
-            offset += 1 + mandatory(type.variable[i]).length;
+            offset += 1 + mandatoryValue(type.variable[i]).length;
         }
-        boolean any = parameters.stream().anyMatch(p -> isOptional(p.code()));
-        if (type.optional) {
-            if (offset - type.variable.length > MOST_POINTER) {
-                throw new IllegalArgumentException(type + ": mandatory parts of " + offset + " octets");
+        boolean hasOptional = parameters.stream().anyMatch(p -> isOptional(p.code()));
+        if (type.hasOptionalPart) {
+            if (offset - type.variable.length > MAX_POINTER) {
+                throw new IllegalArgumentException(type + ": mandatory variable part of " + offset + " octets");
             }
-            out.write(any ? offset - type.variable.length : 0);
+            out.write(hasOptional ? offset - type.variable.length : 0);
         }
         for (int code : type.variable) {
-            write(out, mandatory(code));
+            writeWithLength(out, mandatoryValue(code));
         }
-        if (any) {
+        if (hasOptional) {
             parameters.stream().filter(p -> isOptional(p.code())).forEach(p -> {
                 out.write(p.code());
-                write(out, p.value());
+                writeWithLength(out, p.value());
             });
             out.write(END_OF_OPTIONAL_PARAMETERS);
         }
         return out.toByteArray();
     }
 
-    private static void write(ByteArrayOutputStream out, byte[] value) {
+    private static void writeWithLength(ByteArrayOutputStream out, byte[] value) {
         if (value.length > 255) {
-            throw new IllegalArgumentException("a parameter of " + value.length + " octets, at most 255");
+            throw new IllegalArgumentException("parameter of " + value.length + " octets, maximum 255");
         }
         out.write(value.length);
         out.writeBytes(value);
     }
 
-    private byte[] mandatory(int code) {
+    private byte[] mandatoryValue(int code) {
         byte[] value = parameterValue(code);
         if (value == null) {
-            throw new IllegalArgumentException(type + " needs parameter " + code);
+            throw new IllegalArgumentException(type + " requires parameter " + code);
         }
         return value;
     }
@@ -218,68 +228,70 @@
     }
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
-     * @throws SignallingProtocolException with the cause that a CFN or a REL would carry
+     * @throws SignallingProtocolException with the cause value to be returned in a CFN or REL
      */
     public static IsupMessage decode(byte[] in) throws SignallingProtocolException {
-        if (in.length < HEADER) {
-            throw new SignallingProtocolException(PROTOCOL_ERROR, "an ISUP message of " + in.length + " octets");
+        if (in.length < HEADER_BYTES) {
+            throw new SignallingProtocolException(PROTOCOL_ERROR, "ISUP message of " + in.length + " octets");
         }
         int circuit = (in[0] & 0xff) | (in[1] & 0x0f) << 8;
         Type type = Type.BY_CODE[in[2] & 0xff];
         if (type == null) {
-            throw new SignallingProtocolException(MESSAGE_TYPE_UNKNOWN, "ISUP message type " + (in[2] & 0xff));
+            throw new SignallingProtocolException(MESSAGE_TYPE_UNKNOWN, "unknown ISUP message type " + (in[2] & 0xff));
         }
         List<Parameter> parameters = new ArrayList<>(6);
-        int at = HEADER;
+        int offset = HEADER_BYTES;
         for (int i = 0; i < type.fixed.length; i += 2) {
-            parameters.add(new Parameter(type.fixed[i], slice(in, at, type.fixed[i + 1])));
-            at += type.fixed[i + 1];
+            parameters.add(new Parameter(type.fixed[i], copyRange(in, offset, type.fixed[i + 1])));
+            offset += type.fixed[i + 1];
         }
-        int reach = type.variable.length;
+        int variablePartBytes = type.variable.length;
         for (int code : type.variable) {
-            int start = at + octet(in, at);
-            if (start == at) {
-                throw new SignallingProtocolException(PROTOCOL_ERROR, "no pointer to parameter " + code);
+            int start = offset + octetAt(in, offset);
+            if (start == offset) {
+                throw new SignallingProtocolException(PROTOCOL_ERROR, "no pointer to mandatory parameter " + code);
             }
-            parameters.add(new Parameter(code, slice(in, start + 1, octet(in, start))));
-            reach += 1 + octet(in, start);
-            at++;
+            parameters.add(new Parameter(code, copyRange(in, start + 1, octetAt(in, start))));
+            variablePartBytes += 1 + octetAt(in, start);
+            offset++;
         }
-        if (reach > MOST_POINTER) {
-            // Laid over other parts it fits the frame, but no pointer reaches past it: it can't be sent on.
-            throw new SignallingProtocolException(PROTOCOL_ERROR, "mandatory parts of " + reach + " octets");
+        if (variablePartBytes > MAX_POINTER) {
+            // Overlapping parameters can fit into the message, but once they are encoded no pointer reaches past them.
+            throw new SignallingProtocolException(
+                    PROTOCOL_ERROR, "mandatory variable part of " + variablePartBytes + " octets");
         }
-        if (type.optional && at < in.length && octet(in, at) != 0) {
-            optional(in, at + octet(in, at), parameters);
+        if (type.hasOptionalPart && offset < in.length && octetAt(in, offset) != 0) {
+            decodeOptionalPart(in, offset + octetAt(in, offset), parameters);
         }
         return new IsupMessage(circuit, type, parameters);
     }
 
-    private static void optional(byte[] in, int from, List<Parameter> into) throws SignallingProtocolException {
-        int at = from;
-        for (int code = octet(in, at); code != END_OF_OPTIONAL_PARAMETERS; code = octet(in, at)) {
-            int length = octet(in, at + 1);
-            into.add(new Parameter(code, slice(in, at + 2, length)));
-            at += 2 + length;
-            if (into.size() > MOST_PARAMETERS) {
-                throw new SignallingProtocolException(PROTOCOL_ERROR, "over " + MOST_PARAMETERS + " parameters");
+    private static void decodeOptionalPart(byte[] in, int start, List<Parameter> parameters)
+            throws SignallingProtocolException {
+        int offset = start;
+        for (int code = octetAt(in, offset); code != END_OF_OPTIONAL_PARAMETERS; code = octetAt(in, offset)) {
+            int length = octetAt(in, offset + 1);
+            parameters.add(new Parameter(code, copyRange(in, offset + 2, length)));
+            offset += 2 + length;
+            if (parameters.size() > MAX_PARAMETERS) {
+                throw new SignallingProtocolException(PROTOCOL_ERROR, "more than " + MAX_PARAMETERS + " parameters");
             }
         }
     }
 
-    private static int octet(byte[] in, int at) throws SignallingProtocolException {
-        if (at >= in.length) {
-            throw new SignallingProtocolException(PROTOCOL_ERROR, "cut off at octet " + at);
+    private static int octetAt(byte[] in, int offset) throws SignallingProtocolException {
+        if (offset >= in.length) {
+            throw new SignallingProtocolException(PROTOCOL_ERROR, "message truncated at octet " + offset);
         }
-        return in[at] & 0xff;
+        return in[offset] & 0xff;
     }
 
-    private static byte[] slice(byte[] in, int from, int length) throws SignallingProtocolException {
+    private static byte[] copyRange(byte[] in, int from, int length) throws SignallingProtocolException {
         if (from + length > in.length) {
             throw new SignallingProtocolException(
-                    PROTOCOL_ERROR, "a parameter of " + length + " octets at octet " + from + " of " + in.length);
+                    PROTOCOL_ERROR, "parameter of " + length + " octets at octet " + from + " of " + in.length);
         }
         return java.util.Arrays.copyOfRange(in, from, from + length);
     }
--- a/src/main/java/damsonseam/ss7/M3uaMessage.java
+++ b/src/main/java/damsonseam/ss7/M3uaMessage.java
@@ -5,101 +5,101 @@
 import java.util.List;
 
 /**
- * One M3UA message (RFC 4666 3.1): its class and type and its parameters in their order. Decoding checks every
- * length against what is there before it takes any room.
+ * One M3UA message (RFC 4666 section 3.1): its class and type, and its parameters in their order. Decoding checks every
+ * length against the bytes present before it allocates memory for them.
  *
- * @param kind class and type
- * @param parameters the parameters, unknown ones included (RFC 4666 3.2 asks that they be passed over)
+ * @param kind message class and type
+ * @param parameters the parameters, including unknown ones, which receivers ignore (RFC 4666 section 3.2)
  */
 public record M3uaMessage(Kind kind, List<Parameter> parameters) {
-    /** Octets of the common header. */
+    /** Size of the common header. */
     public static final int HEADER_BYTES = 8;
-    /** Longest frame taken: far above any ISUP message and any list of point codes in use. */
+    /** Maximum message size: far above any ISUP message and any list of point codes in use. */
     public static final int MAX_FRAME_BYTES = 4096;
 
-    private static final int PARAMETER_HEADER = 4;
-    private static final int MOST_PARAMETERS = 64;
+    private static final int PARAMETER_HEADER_BYTES = 4;
+    private static final int MAX_PARAMETERS = 64;
     private static final int VERSION = 1;
 
-    /** Parameter tags (RFC 4666 3.2). */
+    /** Parameter tags (RFC 4666 section 3.2); this one: text for humans. */
     public static final int INFO_STRING = 0x0004;
-    /** The application server that the traffic is for. */
+    /** The application server for which the traffic is. */
     public static final int ROUTING_CONTEXT = 0x0006;
-    /** The start of the frame that an error is about. */
+    /** The first octets of the message that caused an error. */
     public static final int DIAGNOSTIC = 0x0007;
-    /** What a BEAT ACK must repeat. */
+    /** Opaque data of a BEAT, returned by its BEAT ACK. */
     public static final int HEARTBEAT_DATA = 0x0009;
-    /** Override, loadshare or broadcast. */
+    /** Traffic mode: override, loadshare or broadcast. */
     public static final int TRAFFIC_MODE_TYPE = 0x000b;
-    /** Why an ERR was sent. */
+    /** The reason of an ERR. */
     public static final int ERROR_CODE = 0x000c;
-    /** What a NTFY tells. */
+    /** The event of a NTFY. */
     public static final int STATUS = 0x000d;
-    /** Which process of an application server this is. */
+    /** Identifies the ASP within its application server. */
     public static final int ASP_IDENTIFIER = 0x0011;
-    /** Point codes that an SSNM message is about, each after a mask octet. */
+    /** Point codes affected by an SSNM message, each preceded by a mask octet. */
     public static final int AFFECTED_POINT_CODE = 0x0012;
-    /** The congestion level of an SCON, 0 to 3. */
+    /** Congestion level of an SCON, 0 to 3. */
     public static final int CONGESTION_INDICATIONS = 0x0205;
-    /** The routing label and the ISUP message of a DATA. */
+    /** Routing label and user message of a DATA, see {@link ProtocolData}. */
     public static final int PROTOCOL_DATA = 0x0210;
 
-    /** Error codes (RFC 4666 3.8.1). */
+    /** Error codes (RFC 4666 section 3.8.1); this one: unsupported protocol version. */
     public static final int INVALID_VERSION = 0x01;
-    /** A class that the specification does not have. */
+    /** Unknown message class. */
     public static final int UNSUPPORTED_MESSAGE_CLASS = 0x03;
-    /** A type that its class does not have. */
+    /** Unknown message type of a known class. */
     public static final int UNSUPPORTED_MESSAGE_TYPE = 0x04;
-    /** A known message that may not come in this state. */
+    /** Known message that is not expected in the current state. */
     public static final int UNEXPECTED_MESSAGE = 0x06;
-    /** Anything else that is wrong. */
+    /** Any other violation of the protocol. */
     public static final int PROTOCOL_ERROR = 0x07;
-    /** A parameter's value can't be. */
+    /** Invalid parameter value. */
     public static final int INVALID_PARAMETER_VALUE = 0x11;
-    /** A parameter's length can't be. */
+    /** Invalid parameter length. */
     public static final int PARAMETER_FIELD_ERROR = 0x12;
-    /** A parameter that must be there is not. */
+    /** Mandatory parameter missing. */
     public static final int MISSING_PARAMETER = 0x16;
 
-    /** The messages in use, by class and type. */
+    /** The message kinds in use, by class and type. */
     public enum Kind {
-        /** Management: an error in what was received. */
+        /** Error (management): a received message was in error. */
         ERR(0, 0),
-        /** Management: a change of state. */
+        /** Notify (management): a change of state. */
         NTFY(0, 1),
-        /** Transfer of an MTP user's message. */
+        /** Payload data: transfers an MTP user message. */
         DATA(1, 1),
-        /** Destinations that can't be reached. */
+        /** Destination unavailable. */
         DUNA(2, 1),
-        /** Destinations that can be reached again. */
+        /** Destination available. */
         DAVA(2, 2),
-        /** Asks for the state of destinations. */
+        /** Destination state audit. */
         DAUD(2, 3),
-        /** Destinations that are congested, and how much. */
+        /** Signalling congestion. */
         SCON(2, 4),
-        /** A user part that is not there. */
+        /** Destination user part unavailable. */
         DUPU(2, 5),
-        /** Destinations reached with difficulty. */
+        /** Destination restricted. */
         DRST(2, 6),
-        /** The process is up. */
+        /** ASP up. */
         ASPUP(3, 1),
-        /** The process goes down. */
+        /** ASP down. */
         ASPDN(3, 2),
         /** Heartbeat. */
         BEAT(3, 3),
-        /** Answer to ASPUP. */
+        /** ASP up acknowledgement. */
         ASPUP_ACK(3, 4),
-        /** Answer to ASPDN. */
+        /** ASP down acknowledgement. */
         ASPDN_ACK(3, 5),
-        /** Answer to BEAT. */
+        /** Heartbeat acknowledgement. */
         BEAT_ACK(3, 6),
-        /** The process takes traffic. */
+        /** ASP active. */
         ASPAC(4, 1),
-        /** The process takes no more traffic. */
+        /** ASP inactive. */
         ASPIA(4, 2),
-        /** Answer to ASPAC. */
+        /** ASP active acknowledgement. */
         ASPAC_ACK(4, 3),
-        /** Answer to ASPIA. */
+        /** ASP inactive acknowledgement. */
         ASPIA_ACK(4, 4);
 
         private final int messageClass;
@@ -111,20 +111,25 @@
         }
 
         static Kind of(int messageClass, int type) throws SignallingProtocolException {
-            boolean known = false;
+            boolean classKnown = false;
             for (Kind kind : values()) {
-                known |= kind.messageClass == messageClass;
+                classKnown |= kind.messageClass == messageClass;
                 if (kind.messageClass == messageClass && kind.type == type) {
                     return kind;
                 }
             }
             throw new SignallingProtocolException(
-                    known ? UNSUPPORTED_MESSAGE_TYPE : UNSUPPORTED_MESSAGE_CLASS,
+                    classKnown ? UNSUPPORTED_MESSAGE_TYPE : UNSUPPORTED_MESSAGE_CLASS,
                     "message class " + messageClass + ", type " + type);
         }
     }
 
-    /** One parameter: its tag and the octets of its value, without padding. */
+    /**
+     * One parameter.
+     *
+     * @param tag parameter tag
+     * @param value the value, without header and padding
+     */
     public record Parameter(int tag, byte[] value) {
         static Parameter ofInt(int tag, int value) {
             return new Parameter(
@@ -132,34 +137,34 @@
         }
     }
 
-    /** A message with these parameters. */
+    /** Returns a message with the given parameters. */
     public static M3uaMessage of(Kind kind, Parameter... parameters) {
         return new M3uaMessage(kind, List.of(parameters));
     }
 
-    /** An error about a frame, with up to 40 octets of it (RFC 4666 3.8.1). */
-    public static M3uaMessage error(int code, byte[] about) {
-        int length = Math.min(about.length, 40);
+    /** Returns an ERR about a message, with up to 40 octets of it (RFC 4666 section 3.8.1). */
+    public static M3uaMessage error(int code, byte[] message) {
+        int length = Math.min(message.length, 40);
         return of(
                 Kind.ERR,
                 Parameter.ofInt(ERROR_CODE, code),
-                new Parameter(DIAGNOSTIC, java.util.Arrays.copyOf(about, length)));
+                new Parameter(DIAGNOSTIC, java.util.Arrays.copyOf(message, length)));
     }
 
-    /** A message about one destination: DUNA, DAVA or SCON. */
-    public static M3uaMessage destinationState(Kind kind, int pointCode, Parameter... more) {
-        List<Parameter> all = new ArrayList<>();
-        all.add(Parameter.ofInt(AFFECTED_POINT_CODE, pointCode));
-        all.addAll(List.of(more));
-        return new M3uaMessage(kind, all);
+    /** Returns a message about one destination: DUNA, DAVA or SCON. */
+    public static M3uaMessage destinationState(Kind kind, int pointCode, Parameter... optional) {
+        List<Parameter> parameters = new ArrayList<>();
+        parameters.add(Parameter.ofInt(AFFECTED_POINT_CODE, pointCode));
+        parameters.addAll(List.of(optional));
+        return new M3uaMessage(kind, parameters);
     }
 
-    /** The congestion level of an SCON. */
+    /** Returns the congestion indications parameter of an SCON. */
     public static Parameter congestionIndications(int level) {
         return Parameter.ofInt(CONGESTION_INDICATIONS, level);
     }
 
-    /** The value of a parameter, or null. */
+    /** Returns the value of a parameter, or null if the message has no such parameter. */
     public byte[] parameterValue(int tag) {
         for (Parameter p : parameters) {
             if (p.tag() == tag) {
@@ -169,7 +174,7 @@
         return null;
     }
 
-    /** The value of a 32-bit parameter, or -1 if it is not there. */
+    /** Returns the value of a 32-bit parameter, or -1 if the message has no such parameter. */
     public int intParameter(int tag) throws SignallingProtocolException {
         byte[] value = parameterValue(tag);
         if (value == null) {
@@ -178,38 +183,38 @@
         if (value.length < Integer.BYTES) {
             throw new SignallingProtocolException(
                     PARAMETER_FIELD_ERROR,
-                    "parameter " + tag + " of " + value.length + " octets, expected " + Integer.BYTES);
+                    "parameter " + tag + " has " + value.length + " octets, expected " + Integer.BYTES);
         }
         return ByteBuffer.wrap(value).getInt();
     }
 
-    /** The whole frame. */
+    /** Encodes the message. */
     public byte[] encode() {
         int length = HEADER_BYTES;
         for (Parameter p : parameters) {
-            length += PARAMETER_HEADER + padded(p.value().length);
+            length += PARAMETER_HEADER_BYTES + paddedLength(p.value().length);
         }
         ByteBuffer out = ByteBuffer.allocate(length);
         out.put((byte) VERSION).put((byte) 0).put((byte) kind.messageClass).put((byte) kind.type);
         out.putInt(length);
         for (Parameter p : parameters) {
-            out.putShort((short) p.tag()).putShort((short) (PARAMETER_HEADER + p.value().length));
+            out.putShort((short) p.tag()).putShort((short) (PARAMETER_HEADER_BYTES + p.value().length));
             out.put(p.value());
-            out.position(out.position() + padded(p.value().length) - p.value().length);
+            out.position(out.position() + paddedLength(p.value().length) - p.value().length);
         }
         return out.array();
     }
 
     /**
-     * Reads a whole frame.
+     * Decodes a whole message.
      *
-     * @throws SignallingProtocolException with the error code that goes back to the sender
+     * @throws SignallingProtocolException with the error code to be returned to the sender
      */
-    public static M3uaMessage decode(byte[] frame) throws SignallingProtocolException {
-        if (frame.length < HEADER_BYTES) {
-            throw new SignallingProtocolException(PROTOCOL_ERROR, "a frame of " + frame.length + " octets");
+    public static M3uaMessage decode(byte[] message) throws SignallingProtocolException {
+        if (message.length < HEADER_BYTES) {
+            throw new SignallingProtocolException(PROTOCOL_ERROR, "message of " + message.length + " octets");
         }
-        ByteBuffer in = ByteBuffer.wrap(frame);
+        ByteBuffer in = ByteBuffer.wrap(message);
         int version = in.get();
         if (version != VERSION) {
             throw new SignallingProtocolException(INVALID_VERSION, "version " + version + ", expected " + VERSION);
@@ -218,41 +223,41 @@
         int messageClass = in.get() & 0xff;
         int type = in.get() & 0xff;
         int length = in.getInt();
-        if (length != frame.length) {
+        if (length != message.length) {
             throw new SignallingProtocolException(
                     PROTOCOL_ERROR,
-                    "length " + Integer.toUnsignedString(length) + " in a frame of " + frame.length + " octets");
+                    "length " + Integer.toUnsignedString(length) + " in a message of " + message.length + " octets");
         }
         Kind kind = Kind.of(messageClass, type);
         List<Parameter> parameters = new ArrayList<>(2);
         while (in.hasRemaining()) {
-            parameters.add(parameter(in));
-            if (parameters.size() > MOST_PARAMETERS) {
-                throw new SignallingProtocolException(PROTOCOL_ERROR, "over " + MOST_PARAMETERS + " parameters");
+            parameters.add(decodeParameter(in));
+            if (parameters.size() > MAX_PARAMETERS) {
+                throw new SignallingProtocolException(PROTOCOL_ERROR, "more than " + MAX_PARAMETERS + " parameters");
             }
         }
         return new M3uaMessage(kind, parameters);
     }
 
-    private static Parameter parameter(ByteBuffer in) throws SignallingProtocolException {
-        if (in.remaining() < PARAMETER_HEADER) {
-            throw new SignallingProtocolException(PARAMETER_FIELD_ERROR, "a parameter cut off in its header");
+    private static Parameter decodeParameter(ByteBuffer in) throws SignallingProtocolException {
+        if (in.remaining() < PARAMETER_HEADER_BYTES) {
+            throw new SignallingProtocolException(PARAMETER_FIELD_ERROR, "truncated parameter header");
         }
         int tag = in.getShort() & 0xffff;
-        int length = (in.getShort() & 0xffff) - PARAMETER_HEADER;
+        int length = (in.getShort() & 0xffff) - PARAMETER_HEADER_BYTES;
         if (length < 0 || length > in.remaining()) {
             throw new SignallingProtocolException(
                     PARAMETER_FIELD_ERROR,
-                    "parameter " + tag + " says " + length + " octets where " + in.remaining() + " are left");
+                    "parameter " + tag + " has length " + length + ", but only " + in.remaining() + " octets remain");
         }
         byte[] value = new byte[length];
         in.get(value);
-        // The padding of the last parameter may be missing (RFC 4666 3.2: it is not part of its length).
-        in.position(Math.min(in.limit(), in.position() + padded(length) - length));
+        // The last padding may be missing, as a parameter length does not include it (RFC 4666 section 3.2).
+        in.position(Math.min(in.limit(), in.position() + paddedLength(length) - length));
         return new Parameter(tag, value);
     }
 
-    private static int padded(int length) {
+    private static int paddedLength(int length) {
         return (length + 3) & ~3;
     }
 
