--- a/src/main/java/damsonseam/bench/MemoryBench.java
+++ b/src/main/java/damsonseam/bench/MemoryBench.java
@@ -136,7 +136,7 @@
                                     }
 
                                     @Override
-                                    public void onOutcome(
+                                    public void onAttemptEnded(
                                             double now,
                                             long call,
                                             int attempt,
--- a/src/main/java/damsonseam/front/TrunkLink.java
+++ b/src/main/java/damsonseam/front/TrunkLink.java
@@ -271,7 +271,7 @@
         }
 
         @Override
-        public void onOutcome(
+        public void onAttemptEnded(
                 double now,
                 long call,
                 int attempt,
--- a/src/main/java/damsonseam/ss7/TrunkGroup.java
+++ b/src/main/java/damsonseam/ss7/TrunkGroup.java
@@ -10,48 +10,50 @@
 import org.agrona.collections.Long2ObjectHashMap;
 
 /**
- * Call control of one trunk group at the side that sets calls up (ITU-T Q.764). A circuit is taken from its IAM
- * until its RLC, whatever became of the call; after a lost connection the circuits that were not idle are reset
- * before they are used again. Answers that come after our REL change nothing. Time is passed in.
+ * Call control of one trunk group at the side that sets calls up (ITU-T Q.764). A circuit is in use from its IAM to
+ * its RLC, whatever happens to the call in between. After a lost connection, circuits that were in use are reset before
+ * they carry new calls. An answer that arrives after the REL is ignored.
  *
- * <p>Each attempt that {@link #setUp} sent ends in one {@link Output#onOutcome}, or is released by its owner; one
- * that was answered stands until {@code ended} or release.
+ * <p>For each attempt that {@link #setUp} sent, either {@link Output#onAttemptEnded} is called once, or the owner calls
+ * {@link #release}. A call that was answered stays established until one of the two.
+ *
+ * <p>Not thread-safe. The caller supplies the time, in milliseconds. Memory is bounded by the count of circuits.
  */
 public final class TrunkGroup {
-    /** Resets in flight at one time after a lost connection: the far end must not drown in them. */
-    private static final int RESET_WINDOW = 32;
+    /** Maximum count of outstanding resets after a lost connection, so as not to overload the far end. */
+    private static final int MAX_OUTSTANDING_RESETS = 32;
 
-    /** What a group sends and tells. */
+    /** Sends messages and receives the events of a trunk group. */
     public interface Output {
         /** Sends an ISUP message to the far end. */
         void send(IsupMessage message);
 
-        /** The attempt was answered. */
+        /** Called when an attempt was answered, by which its call is established. */
         void onAnswered(double now, long call, int attempt, ServerLoadReport report);
 
-        /** The attempt, or the standing call, was ended by the far end or with the connection. */
-        void onOutcome(
+        /** Called when the far end, or the loss of the connection, ended an attempt or released an established call. */
+        void onAttemptEnded(
                 double now,
                 long call,
                 int attempt,
-                AttemptStatus result,
+                AttemptStatus status,
                 RejectReason reason,
-                OptionalDouble toldWait,
+                OptionalDouble retryAfterMs,
                 ServerLoadReport report);
 
-        /** The far end has the release of an attempt: it completed it, released too, or is gone. */
+        /** Called when the far end has confirmed the release of an attempt, has released it too, or is gone. */
         void onReleaseComplete(double now, long call, int attempt);
     }
 
     /**
-     * Timers of the group, in milliseconds (Q.764 annex A).
+     * Timer values of a trunk group, in milliseconds (Q.764 annex A).
      *
-     * @param t1Ms a REL not completed is sent again
-     * @param t5Ms a circuit still not released is reset
-     * @param t17Ms a reset not completed is sent again
+     * @param t1Ms time without RLC after which a REL is sent again
+     * @param t5Ms time after which a circuit that is still not released is reset
+     * @param t17Ms time without RLC after which an RSC is sent again
      */
     public record TimerValues(double t1Ms, double t5Ms, double t17Ms) {
-        /** The recommendation's values: 15 s, 5 minutes, 5 minutes. */
+        /** The values of the recommendation: 15 s, 5 minutes, 5 minutes. */
         public static final TimerValues Q764 = new TimerValues(15_000, 300_000, 300_000);
     }
 
@@ -62,17 +64,17 @@
         RESETTING
     }
 
-    /** A circuit that is not idle. */
-    private static final class Busy {
+    /** The state of a circuit that is in use; call and attempt are -1 if it carries none of this side. */
+    private static final class BusyCircuit {
         final int circuit;
         final long call;
         final int attempt;
         State state = State.SETTING_UP;
         TimerWheel.Timer timer;
-        double since;
+        double releaseStartedAt;
         int cause;
 
-        Busy(int circuit, long call, int attempt) {
+        BusyCircuit(int circuit, long call, int attempt) {
             this.circuit = circuit;
             this.call = call;
             this.attempt = attempt;
@@ -81,130 +83,137 @@
 
     private final CircuitAllocator circuits;
     private final TimerWheel timers;
-    private final TimerValues times;
+    private final TimerValues timerValues;
     private final Output out;
     private final int pointCode;
-    private final Busy[] busyCircuits;
-    private final Long2ObjectHashMap<Busy> byCall = new Long2ObjectHashMap<>();
-    /** CircuitAllocator that must be reset once there is a connection, and how many resets are in flight. */
-    private final BitSet toReset = new BitSet();
+    private final BusyCircuit[] busyCircuits;
+    private final Long2ObjectHashMap<BusyCircuit> circuitsByCall = new Long2ObjectHashMap<>();
+    /** Circuits to be reset as soon as there is a connection. */
+    private final BitSet circuitsToReset = new BitSet();
 
-    private int resetsOut;
+    private int outstandingResets;
     private boolean connected;
     private long unexpectedMessages;
     private long lateAnswers;
     private long dualSeizures;
 
-    /** A group with all circuits idle; {@code pointCode} is this end's. */
-    public TrunkGroup(CircuitAllocator circuits, TimerWheel timers, TimerValues times, int pointCode, Output out) {
+    /**
+     * Creates a group whose circuits are all idle.
+     *
+     * @param pointCode point code of this end, sent in the call reference
+     */
+    public TrunkGroup(
+            CircuitAllocator circuits, TimerWheel timers, TimerValues timerValues, int pointCode, Output out) {
         this.circuits = circuits;
         this.timers = timers;
-        this.times = times;
+        this.timerValues = timerValues;
         this.pointCode = pointCode;
         this.out = out;
-        busyCircuits = new Busy[circuits.size() + 1];
+        busyCircuits = new BusyCircuit[circuits.size() + 1];
     }
 
-    // ---- What the core asks for -------------------------------------------------------------------------
+    // ---- Outgoing calls ---------------------------------------------------------------------------------
 
-    /** Takes a circuit and sends a set-up; returns whether there was one. */
+    /** Seizes a circuit and sends an IAM; returns false if no circuit was idle. */
     public boolean setUp(long call, int attempt, String number, int category) {
         int circuit = circuits.seize();
         if (circuit == 0) {
             return false;
         }
-        Busy b = new Busy(circuit, call, attempt);
-        busyCircuits[circuit] = b;
-        byCall.put(call, b);
+        BusyCircuit busy = new BusyCircuit(circuit, call, attempt);
+        busyCircuits[circuit] = busy;
+        circuitsByCall.put(call, busy);
         out.send(IsupMessages.initialAddress(circuit, number, category, call, pointCode));
         return true;
     }
 
-    /** Releases what an attempt holds; its owner has done with it and hears no more of it. */
+    /** Releases the circuit of an attempt, for which only {@link Output#onReleaseComplete} is called from then on. */
     public void release(double now, long call, int attempt, int cause) {
-        Busy b = byCall.get(call);
-        if (b != null && b.attempt == attempt) {
-            byCall.remove(call);
-            startRelease(b, cause, now);
+        BusyCircuit busy = circuitsByCall.get(call);
+        if (busy != null && busy.attempt == attempt) {
+            circuitsByCall.remove(call);
+            startRelease(busy, cause, now);
         }
     }
 
-    private void startRelease(Busy b, int cause, double now) {
-        b.state = State.RELEASING;
-        b.cause = cause;
-        b.since = now;
+    private void startRelease(BusyCircuit busy, int cause, double now) {
+        busy.state = State.RELEASING;
+        busy.cause = cause;
+        busy.releaseStartedAt = now;
         if (connected) {
-            out.send(IsupMessages.release(b.circuit, cause));
-            await(b, now);
+            out.send(IsupMessages.release(busy.circuit, cause));
+            scheduleRetransmission(busy, now);
         } else {
-            toReset.set(b.circuit);
+            circuitsToReset.set(busy.circuit);
         }
     }
 
-    /** A release or a reset is repeated until it is complete; a release that never is becomes a reset. */
-    private void await(Busy b, double now) {
-        timers.cancel(b.timer);
-        double after = b.state == State.RELEASING ? times.t1Ms() : times.t17Ms();
-        b.timer = timers.schedule(now + after, at -> {
-            b.timer = null;
-            if (!connected || busyCircuits[b.circuit] != b) {
+    /** Retransmits a REL or RSC until it is confirmed; a REL that remains unconfirmed is followed by an RSC. */
+    private void scheduleRetransmission(BusyCircuit busy, double now) {
+        timers.cancel(busy.timer);
+        double delayMs = busy.state == State.RELEASING ? timerValues.t1Ms() : timerValues.t17Ms();
+        busy.timer = timers.schedule(now + delayMs, at -> {
+            busy.timer = null;
+            if (!connected || busyCircuits[busy.circuit] != busy) {
                 return;
             }
-            if (b.state == State.RELEASING && at - b.since < times.t5Ms()) {
-                out.send(IsupMessages.release(b.circuit, b.cause));
+            if (busy.state == State.RELEASING && at - busy.releaseStartedAt < timerValues.t5Ms()) {
+                out.send(IsupMessages.release(busy.circuit, busy.cause));
             } else {
-                resetsOut += b.state == State.RESETTING ? 0 : 1;
-                b.state = State.RESETTING;
-                out.send(IsupMessage.of(b.circuit, IsupMessage.Type.RSC));
+                outstandingResets += busy.state == State.RESETTING ? 0 : 1;
+                busy.state = State.RESETTING;
+                out.send(IsupMessage.of(busy.circuit, IsupMessage.Type.RSC));
             }
-            await(b, at);
+            scheduleRetransmission(busy, at);
         });
     }
 
-    // ---- The connection ---------------------------------------------------------------------------------
+    // ---- Signalling connection --------------------------------------------------------------------------
 
-    /** Traffic may flow; circuits left over from before are reset first, a few at a time. */
+    /** Handles that traffic may flow: circuits in use on the previous connection are reset, a few at a time. */
     public void onConnectionUp(double now) {
         connected = true;
-        resetNext(now);
+        sendPendingResets(now);
     }
 
-    private void resetNext(double now) {
-        for (int c = toReset.nextSetBit(0); c >= 0 && resetsOut < RESET_WINDOW; c = toReset.nextSetBit(c)) {
-            toReset.clear(c);
-            Busy b = busyCircuits[c];
-            if (b != null) {
-                b.state = State.RESETTING;
-                resetsOut++;
-                circuits.startReset(c);
-                out.send(IsupMessage.of(c, IsupMessage.Type.RSC));
-                await(b, now);
+    private void sendPendingResets(double now) {
+        for (int circuit = circuitsToReset.nextSetBit(0);
+                circuit >= 0 && outstandingResets < MAX_OUTSTANDING_RESETS;
+                circuit = circuitsToReset.nextSetBit(circuit)) {
+            circuitsToReset.clear(circuit);
+            BusyCircuit busy = busyCircuits[circuit];
+            if (busy != null) {
+                busy.state = State.RESETTING;
+                outstandingResets++;
+                circuits.startReset(circuit);
+                out.send(IsupMessage.of(circuit, IsupMessage.Type.RSC));
+                scheduleRetransmission(busy, now);
             }
         }
     }
 
-    /** The connection is gone: every attempt out and every standing call on it is cut, each told once. */
+    /** Handles the loss of the connection: ends every attempt and every established call, reporting each once. */
     public void onConnectionLost(double now) {
         connected = false;
-        resetsOut = 0;
-        for (int c = 1; c < busyCircuits.length; c++) {
-            Busy b = busyCircuits[c];
-            if (b == null) {
+        outstandingResets = 0;
+        for (int circuit = 1; circuit < busyCircuits.length; circuit++) {
+            BusyCircuit busy = busyCircuits[circuit];
+            if (busy == null) {
                 continue;
             }
-            timers.cancel(b.timer);
-            b.timer = null;
-            toReset.set(c);
-            boolean told = b.state == State.SETTING_UP || b.state == State.ANSWERED;
-            if (b.state == State.RELEASING) {
-                out.onReleaseComplete(now, b.call, b.attempt);
+            timers.cancel(busy.timer);
+            busy.timer = null;
+            circuitsToReset.set(circuit);
+            boolean carriesCall = busy.state == State.SETTING_UP || busy.state == State.ANSWERED;
+            if (busy.state == State.RELEASING) {
+                out.onReleaseComplete(now, busy.call, busy.attempt);
             }
-            b.state = State.RELEASING;
-            if (told && byCall.remove(b.call) != null) {
-                out.onOutcome(
+            busy.state = State.RELEASING;
+            if (carriesCall && circuitsByCall.remove(busy.call) != null) {
+                out.onAttemptEnded(
                         now,
-                        b.call,
-                        b.attempt,
+                        busy.call,
+                        busy.attempt,
                         AttemptStatus.RESET,
                         RejectReason.NONE,
                         OptionalDouble.empty(),
@@ -213,40 +222,40 @@
         }
     }
 
-    // ---- What the far end sends -------------------------------------------------------------------------
+    // ---- Incoming messages ------------------------------------------------------------------------------
 
-    /** A message came; the unreasonable ones are handled as Q.764 2.9.5 has it. */
+    /** Handles a message; unexpected ones are handled according to Q.764 2.9.5. */
     public void onMessage(double now, IsupMessage message) {
-        int c = message.circuit();
-        if (!circuits.contains(c)) {
+        int circuit = message.circuit();
+        if (!circuits.contains(circuit)) {
             unexpectedMessages++;
             return;
         }
-        Busy b = busyCircuits[c];
+        BusyCircuit busy = busyCircuits[circuit];
         switch (message.type()) {
-            case ACM, CPG -> unexpected(b, c, now);
-            case ANM, CON -> answer(b, message, now);
-            case REL -> released(b, message, now);
-            case RLC -> complete(b, c, now);
+            case ACM, CPG -> handleProgress(busy, circuit, now);
+            case ANM, CON -> handleAnswer(busy, message, now);
+            case REL -> handleRelease(busy, message, now);
+            case RLC -> handleReleaseComplete(busy, circuit, now);
             case RSC -> {
-                farReset(b, c, now);
-                out.send(IsupMessage.of(c, IsupMessage.Type.RLC));
+                handleReset(busy, circuit, now);
+                out.send(IsupMessage.of(circuit, IsupMessage.Type.RLC));
             }
-            case GRS -> groupReset(message, now);
+            case GRS -> handleGroupReset(message, now);
             case BLO -> {
-                circuits.setBlocked(c, true);
-                out.send(IsupMessage.of(c, IsupMessage.Type.BLA));
+                circuits.setBlocked(circuit, true);
+                out.send(IsupMessage.of(circuit, IsupMessage.Type.BLA));
             }
             case UBL -> {
-                circuits.setBlocked(c, false);
-                out.send(IsupMessage.of(c, IsupMessage.Type.UBA));
+                circuits.setBlocked(circuit, false);
+                out.send(IsupMessage.of(circuit, IsupMessage.Type.UBA));
             }
-            case IAM -> incoming(b, c, now);
+            case IAM -> handleIncomingCall(busy, circuit, now);
             default -> unexpectedMessages++;
         }
     }
 
-    /** A message that could not be read: confusion is told where the circuit is known (Q.764 2.9.5.3). */
+    /** Handles a message that could not be decoded: answers CFN if its circuit exists (Q.764 2.9.5.3). */
     public void onMalformedMessage(int circuit, int cause) {
         unexpectedMessages++;
         if (connected && circuits.contains(circuit)) {
@@ -254,72 +263,74 @@
         }
     }
 
-    /** Progress on an idle circuit: the far end holds it, so it is reset (Q.764 2.9.5.1 f). */
-    private void unexpected(Busy b, int c, double now) {
-        if (b == null) {
+    /** Resets an idle circuit on which the far end reports progress, as it holds that circuit (Q.764 2.9.5.1 f). */
+    private void handleProgress(BusyCircuit busy, int circuit, double now) {
+        if (busy == null) {
             unexpectedMessages++;
-            resetIdle(c, now);
+            seizeAndReset(circuit, now);
         }
     }
 
-    private void resetIdle(int c, double now) {
-        circuits.seizeIncoming(c);
-        busyCircuits[c] = new Busy(c, -1, -1);
-        busyCircuits[c].state = State.RELEASING;
-        toReset.set(c);
-        resetNext(now);
+    private void seizeAndReset(int circuit, double now) {
+        circuits.seizeIncoming(circuit);
+        busyCircuits[circuit] = new BusyCircuit(circuit, -1, -1);
+        busyCircuits[circuit].state = State.RELEASING;
+        circuitsToReset.set(circuit);
+        sendPendingResets(now);
     }
 
-    private void answer(Busy b, IsupMessage message, double now) {
-        if (b == null) {
-            unexpected(null, message.circuit(), now);
-        } else if (b.state == State.SETTING_UP) {
-            b.state = State.ANSWERED;
-            out.onAnswered(now, b.call, b.attempt, LoadReportParameter.decode(message));
+    private void handleAnswer(BusyCircuit busy, IsupMessage message, double now) {
+        if (busy == null) {
+            handleProgress(null, message.circuit(), now);
+        } else if (busy.state == State.SETTING_UP) {
+            busy.state = State.ANSWERED;
+            out.onAnswered(now, busy.call, busy.attempt, LoadReportParameter.decode(message));
         } else {
             lateAnswers++;
         }
     }
 
-    private void released(Busy b, IsupMessage message, double now) {
-        int c = message.circuit();
-        out.send(IsupMessage.of(c, IsupMessage.Type.RLC));
-        if (b == null || b.state == State.RESETTING) {
+    private void handleRelease(BusyCircuit busy, IsupMessage message, double now) {
+        int circuit = message.circuit();
+        out.send(IsupMessage.of(circuit, IsupMessage.Type.RLC));
+        if (busy == null || busy.state == State.RESETTING) {
             return;
         }
-        if (b.state == State.RELEASING) {
-            // Releases that cross: ours is complete as well (Q.764 2.3.1 e).
-            idle(b, now);
-            out.onReleaseComplete(now, b.call, b.attempt);
+        if (busy.state == State.RELEASING) {
+            // Both ends have sent REL: the release of this end is complete as well (Q.764 2.3.1 e).
+            makeIdle(busy, now);
+            out.onReleaseComplete(now, busy.call, busy.attempt);
             return;
         }
-        boolean answered = b.state == State.ANSWERED;
-        byCall.remove(b.call);
-        idle(b, now);
-        int cause = cause(message);
-        out.onOutcome(
+        boolean answered = busy.state == State.ANSWERED;
+        circuitsByCall.remove(busy.call);
+        makeIdle(busy, now);
+        int cause = qualifiedCause(message);
+        out.onAttemptEnded(
                 now,
-                b.call,
-                b.attempt,
-                result(cause, answered),
-                reason(cause, answered),
+                busy.call,
+                busy.attempt,
+                attemptStatus(cause, answered),
+                rejectReason(cause, answered),
                 OptionalDouble.empty(),
                 LoadReportParameter.decode(message));
     }
 
     /**
-     * The cause, as the automatic congestion level qualifies it (Q.764 2.11): a far end that releases with a level
-     * is pressed, whatever cause it gives, unless it says that a line or the number is what is short.
+     * Returns the cause of a REL, qualified by its automatic congestion level (Q.764 2.11): a level means that the far
+     * end is congested whatever the cause, unless the cause is a busy circuit or number, or normal clearing.
      */
-    private static int cause(IsupMessage message) {
+    private static int qualifiedCause(IsupMessage message) {
         int cause = IsupMessages.cause(message);
-        boolean said = cause == IsupMessage.NO_CIRCUIT_AVAILABLE
+        boolean specificCause = cause == IsupMessage.NO_CIRCUIT_AVAILABLE
                 || cause == IsupMessage.USER_BUSY
                 || cause == IsupMessage.NORMAL_CLEARING;
-        return IsupMessages.congestionLevel(message) > 0 && !said ? IsupMessage.SWITCHING_EQUIPMENT_CONGESTION : cause;
+        return IsupMessages.congestionLevel(message) > 0 && !specificCause
+                ? IsupMessage.SWITCHING_EQUIPMENT_CONGESTION
+                : cause;
     }
 
-    private static AttemptStatus result(int cause, boolean answered) {
+    private static AttemptStatus attemptStatus(int cause, boolean answered) {
         if (answered) {
             return cause == IsupMessage.NORMAL_CLEARING ? AttemptStatus.COMPLETED : AttemptStatus.RESET;
         }
@@ -328,7 +339,7 @@
                 : AttemptStatus.ERROR;
     }
 
-    private static RejectReason reason(int cause, boolean answered) {
+    private static RejectReason rejectReason(int cause, boolean answered) {
         if (answered) {
             return RejectReason.NONE;
         }
@@ -340,56 +351,57 @@
         };
     }
 
-    private void complete(Busy b, int c, double now) {
-        if (b == null) {
+    private void handleReleaseComplete(BusyCircuit busy, int circuit, double now) {
+        if (busy == null) {
             return;
         }
-        if (b.state == State.RELEASING || b.state == State.RESETTING) {
-            idle(b, now);
-            out.onReleaseComplete(now, b.call, b.attempt);
+        if (busy.state == State.RELEASING || busy.state == State.RESETTING) {
+            makeIdle(busy, now);
+            out.onReleaseComplete(now, busy.call, busy.attempt);
             return;
         }
-        // The far end has released a call of ours that we have not: its end is told, then it is reset.
-        byCall.remove(b.call);
-        b.state = State.RELEASING;
-        toReset.set(c);
-        resetNext(now);
-        out.onOutcome(
+        // RLC without REL: the far end has released the call, so it is reported as ended and the circuit is reset.
+        circuitsByCall.remove(busy.call);
+        busy.state = State.RELEASING;
+        circuitsToReset.set(circuit);
+        sendPendingResets(now);
+        out.onAttemptEnded(
                 now,
-                b.call,
-                b.attempt,
+                busy.call,
+                busy.attempt,
                 AttemptStatus.RESET,
                 RejectReason.NONE,
                 OptionalDouble.empty(),
                 ServerLoadReport.NONE);
     }
 
-    private void idle(Busy b, double now) {
-        timers.cancel(b.timer);
-        busyCircuits[b.circuit] = null;
-        toReset.clear(b.circuit);
-        if (b.state == State.RESETTING) {
-            resetsOut = Math.max(0, resetsOut - 1);
+    private void makeIdle(BusyCircuit busy, double now) {
+        timers.cancel(busy.timer);
+        busyCircuits[busy.circuit] = null;
+        circuitsToReset.clear(busy.circuit);
+        if (busy.state == State.RESETTING) {
+            outstandingResets = Math.max(0, outstandingResets - 1);
         }
-        circuits.setIdle(b.circuit);
+        circuits.setIdle(busy.circuit);
         if (connected) {
-            resetNext(now);
+            sendPendingResets(now);
         }
     }
 
-    private void farReset(Busy b, int c, double now) {
-        circuits.setBlocked(c, false);
-        if (b == null) {
+    private void handleReset(BusyCircuit busy, int circuit, double now) {
+        circuits.setBlocked(circuit, false);
+        if (busy == null) {
             return;
         }
-        boolean told = (b.state == State.SETTING_UP || b.state == State.ANSWERED) && byCall.remove(b.call) != null;
-        idle(b, now);
-        out.onReleaseComplete(now, b.call, b.attempt);
-        if (told) {
-            out.onOutcome(
+        boolean carriesCall = (busy.state == State.SETTING_UP || busy.state == State.ANSWERED)
+                && circuitsByCall.remove(busy.call) != null;
+        makeIdle(busy, now);
+        out.onReleaseComplete(now, busy.call, busy.attempt);
+        if (carriesCall) {
+            out.onAttemptEnded(
                     now,
-                    b.call,
-                    b.attempt,
+                    busy.call,
+                    busy.attempt,
                     AttemptStatus.RESET,
                     RejectReason.NONE,
                     OptionalDouble.empty(),
@@ -397,16 +409,18 @@
         }
     }
 
-    /** Range: the circuits after the first that are reset with it (Q.763 3.43). */
-    private void groupReset(IsupMessage message, double now) {
+    /** Handles a GRS; its range is the count of circuits after the first that are reset as well (Q.763 3.43). */
+    private void handleGroupReset(IsupMessage message, double now) {
         byte[] value = message.parameterValue(IsupMessage.RANGE_AND_STATUS);
         if (value == null || value.length < 1) {
             unexpectedMessages++;
             return;
         }
-        int range = Math.min(value[0] & 0xff, RESET_WINDOW - 1);
-        for (int c = message.circuit(); c <= message.circuit() + range && circuits.contains(c); c++) {
-            farReset(busyCircuits[c], c, now);
+        int range = Math.min(value[0] & 0xff, MAX_OUTSTANDING_RESETS - 1);
+        for (int circuit = message.circuit();
+                circuit <= message.circuit() + range && circuits.contains(circuit);
+                circuit++) {
+            handleReset(busyCircuits[circuit], circuit, now);
         }
         byte[] status = new byte[1 + (range + 8) / 8];
         status[0] = (byte) range;
@@ -416,59 +430,60 @@
                 new IsupMessage.Parameter(IsupMessage.RANGE_AND_STATUS, status)));
     }
 
-    /** The far end seizes a circuit: this group sets up one way only, and its own call goes first if it may. */
-    private void incoming(Busy b, int c, double now) {
-        if (b != null && b.state == State.SETTING_UP) {
+    /** Handles an IAM: refuses the call, as this side takes none, and resolves dual seizure (Q.764 2.9.1.4). */
+    private void handleIncomingCall(BusyCircuit busy, int circuit, double now) {
+        if (busy != null && busy.state == State.SETTING_UP) {
             dualSeizures++;
-            if (circuits.isControlled(c)) {
+            if (circuits.isControlled(circuit)) {
                 return;
             }
-            // The other end controls this circuit: our attempt never ran, theirs is turned away.
-            byCall.remove(b.call);
-            startRelease(b, IsupMessage.NO_CIRCUIT_AVAILABLE, now);
-            out.onOutcome(
+            // The far end controls this circuit: the attempt of this side never ran, and the call of the far end is
+            // refused.
+            circuitsByCall.remove(busy.call);
+            startRelease(busy, IsupMessage.NO_CIRCUIT_AVAILABLE, now);
+            out.onAttemptEnded(
                     now,
-                    b.call,
-                    b.attempt,
+                    busy.call,
+                    busy.attempt,
                     AttemptStatus.FULL,
                     RejectReason.NO_LINE,
                     OptionalDouble.empty(),
                     ServerLoadReport.NONE);
             return;
         }
-        if (b == null) {
-            circuits.seizeIncoming(c);
-            Busy refused = new Busy(c, -1, -1);
-            busyCircuits[c] = refused;
+        if (busy == null) {
+            circuits.seizeIncoming(circuit);
+            BusyCircuit refused = new BusyCircuit(circuit, -1, -1);
+            busyCircuits[circuit] = refused;
             startRelease(refused, IsupMessage.NO_CIRCUIT_AVAILABLE, now);
         }
     }
 
-    /** CircuitAllocator on which a set-up could go out now. */
-    public int freeCircuits() {
+    /** Returns the count of idle circuits, on which a set-up could be sent. */
+    public int idleCircuits() {
         return circuits.idleCount();
     }
 
-    /** CircuitAllocator that are not idle, whatever for. */
+    /** Returns the count of circuits in use, for whatever reason. */
     public int busyCircuits() {
         int count = 0;
-        for (Busy b : busyCircuits) {
-            count += b == null ? 0 : 1;
+        for (BusyCircuit busy : busyCircuits) {
+            count += busy == null ? 0 : 1;
         }
         return count;
     }
 
-    /** Messages that made no sense where they came. */
+    /** Returns the count of messages that were malformed or not expected on their circuit. */
     public long unexpectedMessages() {
         return unexpectedMessages;
     }
 
-    /** Answers that came after our release. */
+    /** Returns the count of answers that arrived after the release of their attempt. */
     public long lateAnswers() {
         return lateAnswers;
     }
 
-    /** CircuitAllocator that both ends seized at once. */
+    /** Returns the count of dual seizures: circuits that both ends seized at once. */
     public long dualSeizures() {
         return dualSeizures;
     }
--- a/src/test/java/damsonseam/sim/SimulatedFront.java
+++ b/src/test/java/damsonseam/sim/SimulatedFront.java
@@ -208,7 +208,7 @@
                     }
 
                     @Override
-                    public void onOutcome(
+                    public void onAttemptEnded(
                             double at,
                             long call,
                             int attempt,
--- a/src/test/java/damsonseam/ss7/TrunkGroupTest.java
+++ b/src/test/java/damsonseam/ss7/TrunkGroupTest.java
@@ -44,7 +44,7 @@
                     }
 
                     @Override
-                    public void onOutcome(
+                    public void onAttemptEnded(
                             double now,
                             long call,
                             int attempt,
@@ -88,7 +88,7 @@
         group.onMessage(2, IsupMessages.release(circuit, IsupMessage.NORMAL_CLEARING));
         assertEquals(List.of("stands 1/0", "ended 1/0 COMPLETED NONE"), told);
         assertEquals("RLC " + circuit, lastSent());
-        assertEquals(4, group.freeCircuits());
+        assertEquals(4, group.idleCircuits());
     }
 
     @Test
@@ -130,9 +130,9 @@
         from(circuit, IsupMessage.Type.ANM);
         assertTrue(told.isEmpty());
         assertEquals(1, group.lateAnswers());
-        assertEquals(3, group.freeCircuits());
+        assertEquals(3, group.idleCircuits());
         from(circuit, IsupMessage.Type.RLC);
-        assertEquals(4, group.freeCircuits());
+        assertEquals(4, group.idleCircuits());
     }
 
     /** Hard case: the RLC is lost. The release goes out again, then the circuit is reset, then it is idle. */
@@ -148,9 +148,9 @@
             timers.poll(now);
         }
         assertEquals("RSC " + circuit, lastSent());
-        assertEquals(3, group.freeCircuits());
+        assertEquals(3, group.idleCircuits());
         from(circuit, IsupMessage.Type.RLC);
-        assertEquals(4, group.freeCircuits());
+        assertEquals(4, group.idleCircuits());
         assertEquals(0, timers.size());
     }
 
@@ -160,9 +160,9 @@
         group.release(0, 1, 0, IsupMessage.NORMAL_CLEARING);
         group.onMessage(1, IsupMessages.release(circuit, IsupMessage.USER_BUSY));
         assertTrue(told.isEmpty());
-        assertEquals(4, group.freeCircuits());
+        assertEquals(4, group.idleCircuits());
         from(circuit, IsupMessage.Type.RLC);
-        assertEquals(4, group.freeCircuits());
+        assertEquals(4, group.idleCircuits());
     }
 
     /** Hard case: the connection dies with set-ups out. Each is told once, and its circuit is reset first. */
@@ -175,15 +175,15 @@
         group.onConnectionLost(10);
         assertEquals(2, told.size());
         assertTrue(told.stream().allMatch(t -> t.endsWith("RESET NONE")));
-        assertEquals(2, group.freeCircuits());
+        assertEquals(2, group.idleCircuits());
         sent.clear();
         group.onConnectionUp(500);
         assertEquals(
                 2, sent.stream().filter(m -> m.type() == IsupMessage.Type.RSC).count());
-        assertEquals(2, group.freeCircuits());
+        assertEquals(2, group.idleCircuits());
         from(one, IsupMessage.Type.RLC);
         from(two, IsupMessage.Type.RLC);
-        assertEquals(4, group.freeCircuits());
+        assertEquals(4, group.idleCircuits());
     }
 
     @Test
@@ -200,7 +200,7 @@
             large.onMessage(30, IsupMessage.of(sent.get(i).circuit(), IsupMessage.Type.RLC));
         }
         assertEquals(150, sent.size());
-        assertEquals(200, large.freeCircuits());
+        assertEquals(200, large.idleCircuits());
     }
 
     /** Both ends seize: the end that controls the circuit goes on, the other gives way (Q.764 2.9.1.4). */
@@ -226,7 +226,7 @@
         from(circuit, IsupMessage.Type.RSC);
         assertEquals("ended 1/0 RESET NONE", told.get(1));
         assertEquals("RLC " + circuit, lastSent());
-        assertEquals(4, group.freeCircuits());
+        assertEquals(4, group.idleCircuits());
     }
 
     @Test
@@ -241,7 +241,7 @@
                         })));
         assertEquals(2, told.size());
         assertEquals("GRA 1", lastSent());
-        assertEquals(4, group.freeCircuits());
+        assertEquals(4, group.idleCircuits());
     }
 
     @Test
@@ -273,7 +273,7 @@
             t.group.onMessage(2, IsupMessage.of(c, IsupMessage.Type.RSC));
             t.group.onMessage(2, IsupMessage.of(c, IsupMessage.Type.RLC));
         }
-        assertEquals(4, t.group.freeCircuits());
+        assertEquals(4, t.group.idleCircuits());
         assertEquals(0, t.group.busyCircuits());
         long ends =
                 t.told.stream().filter(s -> s.startsWith("ended")).distinct().count();
