--- a/src/main/java/damsonseam/audit/AuditFolder.java
+++ b/src/main/java/damsonseam/audit/AuditFolder.java
@@ -16,7 +16,7 @@
     private AuditFolder() {}
 
     /** Writes what the auditor must know of a run. */
-    public static void write(Path folder, World world) throws IOException {
+    public static void writeRunParameters(Path folder, RunParameters world) throws IOException {
         JSON.writerWithDefaultPrettyPrinter()
                 .writeValue(folder.resolve("world.json").toFile(), world);
     }
@@ -27,7 +27,7 @@
         if (!Files.isRegularFile(worldFile)) {
             throw new IOException(worldFile + ": not there; expected the folder of a run");
         }
-        World world = JSON.readValue(worldFile.toFile(), World.class);
+        RunParameters world = JSON.readValue(worldFile.toFile(), RunParameters.class);
         List<WireLog.Line> lines = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder.resolve("wire"))) {
             for (Path file :
@@ -37,7 +37,7 @@
         }
         lines.sort(Comparator.comparingLong(WireLog.Line::timeUs));
         Auditor auditor = new Auditor(world);
-        lines.forEach(auditor::line);
+        lines.forEach(auditor::accept);
         return auditor.finish();
     }
 }
--- a/src/main/java/damsonseam/audit/Auditor.java
+++ b/src/main/java/damsonseam/audit/Auditor.java
@@ -39,7 +39,7 @@
     private static final long NONE_US = 3_600_000_000L;
     private static final int MOST_FINDINGS = 100;
 
-    private final World world;
+    private final RunParameters world;
     private final Name suffix;
     private final Map<String, String> frontByPort = new HashMap<>();
     private final Map<Integer, String> calculatorByCode = new HashMap<>();
@@ -101,7 +101,7 @@
     }
 
     /** An auditor of a run in this world. */
-    public Auditor(World world) {
+    public Auditor(RunParameters world) {
         this.world = world;
         suffix = E164Name.parseSuffix(world.suffix());
         world.fronts().forEach(f -> frontByPort.put("front:" + f.port(), f.name()));
@@ -110,14 +110,14 @@
     }
 
     /** The next line, not earlier than the one before. */
-    public void line(WireLog.Line line) {
+    public void accept(WireLog.Line line) {
         switch (line.proto()) {
             case WireLog.DNS -> dns(line);
             case WireLog.M3UA -> m3ua(line);
             case WireLog.CLOSED -> closed(line);
             case WireLog.DIRECTORY -> directory(line);
             case WireLog.STARTED -> colds.started(line.to(), line.timeUs());
-            case WireLog.STALL -> stall(line);
+            case WireLog.PAUSED -> stall(line);
             case WireLog.KILLED -> killedAt.put(line.to(), line.timeUs());
             default -> {}
         }
@@ -133,7 +133,7 @@
     // ---- Stalls -----------------------------------------------------------------------------------------
 
     private void stall(WireLog.Line line) {
-        long length = Long.parseLong(new String(line.octets(), java.nio.charset.StandardCharsets.US_ASCII));
+        long length = Long.parseLong(new String(line.payload(), java.nio.charset.StandardCharsets.US_ASCII));
         List<long[]> all = stalls.computeIfAbsent(line.to(), f -> new ArrayList<>());
         long from = line.timeUs();
         // One that begins while another lasts waits for it: the loop sleeps them one after the other.
@@ -156,7 +156,7 @@
     private void dns(WireLog.Line line) {
         Message message;
         try {
-            message = DnsCodec.decode(line.octets());
+            message = DnsCodec.decode(line.payload());
         } catch (DnsFormatException e) {
             return;
         }
@@ -164,7 +164,7 @@
             return;
         }
         String number = E164Name.toNumber(message.getQuestion().getName(), suffix);
-        boolean question = !DnsCodec.isResponse(line.octets());
+        boolean question = !DnsCodec.isResponse(line.payload());
         String front = frontByPort.get(question ? line.to() : line.from());
         if (number == null || front == null) {
             return;
@@ -195,7 +195,7 @@
     private double patience(String number) {
         return world.numbers().stream()
                 .filter(n -> number.startsWith(n.prefix()))
-                .mapToDouble(World.Numbers::patienceMs)
+                .mapToDouble(RunParameters.NumberRange::patienceMs)
                 .findFirst()
                 .orElse(Double.MAX_VALUE / US_PER_MS);
     }
@@ -207,12 +207,12 @@
             return;
         }
         if (of.answer != null) {
-            if (!java.util.Arrays.equals(of.answer, line.octets())) {
+            if (!java.util.Arrays.equals(of.answer, line.payload())) {
                 broken(1, line.timeUs(), of.front, "a second, other answer for " + of.number);
             }
             return;
         }
-        of.answer = line.octets();
+        of.answer = line.payload();
         of.answeredUs = line.timeUs();
         resolved++;
         int rcode = message.getRcode();
@@ -261,7 +261,7 @@
 
     private void m3ua(WireLog.Line line) {
         try {
-            M3uaMessage message = M3uaMessage.decode(line.octets());
+            M3uaMessage message = M3uaMessage.decode(line.payload());
             if (message.kind() == M3uaMessage.Kind.DATA) {
                 ProtocolData data = ProtocolData.from(message);
                 String server = calculatorByCode.get(data.dpc());
@@ -360,7 +360,7 @@
     private void directory(WireLog.Line line) {
         Update update;
         try {
-            update = Update.parseFrom(line.octets());
+            update = Update.parseFrom(line.payload());
         } catch (InvalidProtocolBufferException e) {
             return;
         }
--- a/src/main/java/damsonseam/audit/CallStory.java
+++ b/src/main/java/damsonseam/audit/CallTrace.java
@@ -25,7 +25,7 @@
 import org.xbill.DNS.Section;
 
 /** What passed the sockets for one number, told in words: what a finding of the auditor is about. */
-public final class CallStory {
+public final class CallTrace {
     private static final Pattern NUMBER = Pattern.compile("\\b\\d{8,20}\\b");
     private static final int MOST_LINES = 200;
 
@@ -34,12 +34,12 @@
     /** Circuits that carry a call of the number now: front, calculator and circuit. */
     private final Set<String> circuits = new HashSet<>();
 
-    private CallStory(String number) {
+    private CallTrace(String number) {
         this.number = number;
     }
 
     /** The story of the number that a finding names, from the folder of its run; empty if it names none. */
-    public static List<String> of(Path folder, Finding finding) throws IOException {
+    public static List<String> forFinding(Path folder, Finding finding) throws IOException {
         Matcher named = NUMBER.matcher(finding.what());
         if (!named.find()) {
             return List.of();
@@ -51,14 +51,14 @@
                 WireLog.read(file, line -> {
                     if (line.proto().equals(WireLog.DNS)
                             || line.proto().equals(WireLog.M3UA)
-                            || line.proto().equals(WireLog.STALL) && line.to().equals(finding.front())) {
+                            || line.proto().equals(WireLog.PAUSED) && line.to().equals(finding.front())) {
                         lines.add(line);
                     }
                 });
             }
         }
         lines.sort(Comparator.comparingLong(WireLog.Line::timeUs));
-        CallStory story = new CallStory(named.group());
+        CallTrace story = new CallTrace(named.group());
         for (WireLog.Line line : lines) {
             if (story.told.size() < MOST_LINES) {
                 story.line(line);
@@ -70,12 +70,12 @@
     private void line(WireLog.Line line) {
         try {
             switch (line.proto()) {
-                case WireLog.DNS -> dns(line, DnsCodec.decode(line.octets()));
-                case WireLog.M3UA -> signal(line, M3uaMessage.decode(line.octets()));
+                case WireLog.DNS -> dns(line, DnsCodec.decode(line.payload()));
+                case WireLog.M3UA -> signal(line, M3uaMessage.decode(line.payload()));
                 default ->
                     tell(
                             line,
-                            "stands still for " + new String(line.octets(), java.nio.charset.StandardCharsets.US_ASCII)
+                            "stands still for " + new String(line.payload(), java.nio.charset.StandardCharsets.US_ASCII)
                                     + " ms");
             }
         } catch (DnsFormatException | SignallingProtocolException e) {
@@ -93,7 +93,7 @@
             digits.append(label.length() == 1 ? label : "");
         }
         if (digits.toString().equals(number)) {
-            boolean answer = DnsCodec.isResponse(line.octets());
+            boolean answer = DnsCodec.isResponse(line.payload());
             boolean stands = answer && !message.getSection(Section.ANSWER).isEmpty();
             tell(
                     line,
--- a/src/main/java/damsonseam/audit/ColdStarts.java
+++ b/src/main/java/damsonseam/audit/ColdStarts.java
@@ -20,8 +20,8 @@
 
     private static final double SLACK_DEVIATIONS = 4;
 
-    private final World world;
-    private final Map<String, World.Calculator> calculators = new HashMap<>();
+    private final RunParameters world;
+    private final Map<String, RunParameters.Calculator> calculators = new HashMap<>();
     private final Map<String, Cold> colds = new HashMap<>();
     private final List<Finding> findings = new ArrayList<>();
 
@@ -39,7 +39,7 @@
         }
     }
 
-    ColdStarts(World world) {
+    ColdStarts(RunParameters world) {
         this.world = world;
         world.calculators().forEach(c -> calculators.put(c.id(), c));
     }
--- a/src/main/java/damsonseam/audit/World.java
+++ b/src/main/java/damsonseam/audit/RunParameters.java
@@ -16,10 +16,10 @@
  * @param tipWindowMs figure of rule 4
  * @param guardMs figure of rule 5
  */
-public record World(
+public record RunParameters(
         String suffix,
-        List<Numbers> numbers,
-        List<FrontAt> fronts,
+        List<NumberRange> numbers,
+        List<FrontAddress> fronts,
         List<Calculator> calculators,
         double drainGraceMs,
         double coldFrom,
@@ -29,10 +29,10 @@
         double guardMs) {
 
     /** Numbers of one class. */
-    public record Numbers(String prefix, double patienceMs) {}
+    public record NumberRange(String prefix, double patienceMs) {}
 
     /** A front: its name, by its point code, and the port of its DNS. */
-    public record FrontAt(String name, int port) {}
+    public record FrontAddress(String name, int port) {}
 
     /** A calculator: its name, its point code, and the set-ups a second that it can do when warm. */
     public record Calculator(String id, int pointCode, double setUpsPerS) {}
--- a/src/main/java/damsonseam/audit/WireLog.java
+++ b/src/main/java/damsonseam/audit/WireLog.java
@@ -27,7 +27,7 @@
     /** Updates as the directory sent them. */
     public static final String DIRECTORY = "directory";
     /** A front was made to stand still; the octets are its milliseconds in decimal digits. */
-    public static final String STALL = "stall";
+    public static final String PAUSED = "stall";
     /** A front was killed; no octets. */
     public static final String KILLED = "killed";
     /** A calculator's processor started; no octets. */
@@ -39,7 +39,7 @@
     private final long origin;
 
     /** One message of a log. */
-    public record Line(long timeUs, String from, String to, String proto, byte[] octets) {}
+    public record Line(long timeUs, String from, String to, String proto, byte[] payload) {}
 
     /** A log in a file; {@code origin} is the nano time that counts as zero. */
     public WireLog(Path file, long origin) throws IOException {
--- a/src/main/java/damsonseam/bench/Baseline.java
+++ b/src/main/java/damsonseam/bench/AdmissionVariant.java
@@ -6,11 +6,11 @@
 import java.util.SplittableRandom;
 
 /** What admits calls at a front: the project's own gate, and what it is compared with. */
-public enum Baseline {
+public enum AdmissionVariant {
     /** The project's gate. */
     LEVELS {
         @Override
-        AdmissionController admission(FrontSettings settings) {
+        AdmissionController newController(FrontSettings settings) {
             return new LevelAdmissionController(
                     settings.overloadSettings(), settings.ranks().count(), 1);
         }
@@ -18,26 +18,26 @@
     /** No shedding: only the bounds of lines and tables. */
     NONE {
         @Override
-        AdmissionController admission(FrontSettings settings) {
+        AdmissionController newController(FrontSettings settings) {
             return (now, rank, sender, load) -> AdmissionController.ADMIT;
         }
     },
     /** A plain limit of the queue, whatever a call is worth. */
     QUEUE {
         @Override
-        AdmissionController admission(FrontSettings settings) {
+        AdmissionController newController(FrontSettings settings) {
             return (now, rank, sender, load) -> load.queuedAtOrAbove(0) < 256 ? AdmissionController.ADMIT : 500;
         }
     },
     /** Sheds at random the share that the same wait asks for, whatever a call is worth. */
     RANDOM {
         @Override
-        AdmissionController admission(FrontSettings settings) {
+        AdmissionController newController(FrontSettings settings) {
             LevelAdmissionController one = new LevelAdmissionController(settings.overloadSettings(), 1, 1);
             SplittableRandom random = new SplittableRandom(1);
             return (now, rank, sender, load) -> one.decide(now, 0, random.nextLong(), load);
         }
     };
 
-    abstract AdmissionController admission(FrontSettings settings);
+    abstract AdmissionController newController(FrontSettings settings);
 }
--- a/src/main/java/damsonseam/bench/DrainBench.java
+++ b/src/main/java/damsonseam/bench/DrainBench.java
@@ -97,7 +97,7 @@
         Map<String, Long> last = new LinkedHashMap<>();
         for (WireLog.Line line : lines) {
             if (line.proto().equals(WireLog.DIRECTORY)) {
-                var update = damsonseam.directory.wire.Update.parseFrom(line.octets());
+                var update = damsonseam.directory.wire.Update.parseFrom(line.payload());
                 if (update.getFull() || !update.getEntries(0).getServer().startsWith("calc-00")) {
                     continue;
                 }
@@ -123,7 +123,7 @@
 
     private static boolean isSetUp(WireLog.Line line) {
         try {
-            M3uaMessage message = M3uaMessage.decode(line.octets());
+            M3uaMessage message = M3uaMessage.decode(line.payload());
             return message.kind() == M3uaMessage.Kind.DATA
                     && IsupMessage.decode(ProtocolData.from(message).isup()).type() == IsupMessage.Type.IAM;
         } catch (SignallingProtocolException e) {
--- a/src/main/java/damsonseam/bench/FrontProcess.java
+++ b/src/main/java/damsonseam/bench/FrontProcess.java
@@ -38,7 +38,7 @@
     private final InetSocketAddress address;
 
     /** Starts a front with what admits its calls and these options of its Java machine; waits until it is ready. */
-    FrontProcess(FrontSettings settings, Baseline admission, List<String> options) throws IOException {
+    FrontProcess(FrontSettings settings, AdmissionVariant admission, List<String> options) throws IOException {
         folder = Files.createTempDirectory("front");
         Path config = folder.resolve("front.yaml");
         new ObjectMapper(new YAMLFactory()).writeValue(config.toFile(), settings);
@@ -107,10 +107,10 @@
         // Standard output is the parent's; nothing else may speak there.
         ((Logger) LoggerFactory.getLogger(Logger.ROOT_LOGGER_NAME)).setLevel(Level.OFF);
         FrontSettings settings = Yaml.read(Path.of(args[0]), FrontSettings.class);
-        Baseline baseline = Baseline.valueOf(args[1].toUpperCase(Locale.ROOT));
+        AdmissionVariant baseline = AdmissionVariant.valueOf(args[1].toUpperCase(Locale.ROOT));
         FrontServer.Components own = FrontServer.Components.defaults(settings);
         try (FrontServer front = FrontServer.start(
-                settings, new FrontServer.Components(own.module(), () -> baseline.admission(settings)), false)) {
+                settings, new FrontServer.Components(own.module(), () -> baseline.newController(settings)), false)) {
             if (!front.awaitReady(READY_MS)) {
                 throw new IOException("the front was not ready");
             }
--- a/src/main/java/damsonseam/bench/OverloadBench.java
+++ b/src/main/java/damsonseam/bench/OverloadBench.java
@@ -4,11 +4,11 @@
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.config.TimeSpan;
-import damsonseam.load.Load;
 import damsonseam.load.LoadPlan;
 import damsonseam.load.LoadPlot;
 import damsonseam.load.LoadResult;
-import damsonseam.load.Profile;
+import damsonseam.load.LoadRunner;
+import damsonseam.load.RateProfile;
 import damsonseam.standin.CalculatorSettings;
 import damsonseam.standin.Scenario;
 import damsonseam.standin.SimulatedPeers;
@@ -47,16 +47,17 @@
      * @param plots folder for pictures of the bursts, or null
      */
     public static Map<String, Object> run(
-            double seconds, double most, List<Baseline> baselines, List<String> options, Path plots) throws Exception {
+            double seconds, double most, List<AdmissionVariant> baselines, List<String> options, Path plots)
+            throws Exception {
         Map<String, Object> report = new LinkedHashMap<>();
         double saturation = 0;
-        for (Baseline baseline : baselines) {
+        for (AdmissionVariant baseline : baselines) {
             try (SimulatedPeers around = surroundings();
                     FrontProcess front = new FrontProcess(settings(around), baseline, options)) {
                 LoadPlan plan = plan(around, front);
                 warm(plan, seconds);
                 if (saturation == 0) {
-                    saturation = Load.saturation(plan, FIRST_RATE, Math.min(3, seconds));
+                    saturation = LoadRunner.findSaturationRate(plan, FIRST_RATE, Math.min(3, seconds));
                     report.put("saturationPerS", Math.round(saturation));
                 }
                 Map<String, Object> of = new LinkedHashMap<>();
@@ -85,7 +86,7 @@
     /** Until the front's code is compiled: each step is a rate that what is compiled by then can bear. */
     private static void warm(LoadPlan plan, double seconds) throws Exception {
         for (double rate = FIRST_RATE; rate <= 4 * FIRST_RATE; rate *= 2) {
-            Load.run(plan.with(Profile.steady(rate), seconds));
+            LoadRunner.run(plan.withRateProfile(RateProfile.steady(rate), seconds));
         }
     }
 
@@ -93,10 +94,10 @@
             throws Exception {
         front.reset();
         JsonNode before = front.report();
-        LoadResult result = Load.run(plan.with(Profile.steady(perS), seconds));
+        LoadResult result = LoadRunner.run(plan.withRateProfile(RateProfile.steady(perS), seconds));
         Map<String, Object> report = result.report(1, seconds);
         delays(report, result, front.report(), before);
-        report.put("invertedSeconds", result.invertedSeconds(CHANCE));
+        report.put("invertedSeconds", result.secondsWithPriorityInversion(CHANCE));
         Thread.sleep(1_000);
         return report;
     }
@@ -106,12 +107,12 @@
         double until = BEFORE_S + BURST_S;
         front.reset();
         JsonNode before = front.report();
-        LoadResult result = Load.run(plan.with(
-                Profile.burst(BELOW * saturation, Math.min(10, most) / BELOW, BEFORE_S, until), until + AFTER_S));
+        LoadResult result = LoadRunner.run(plan.withRateProfile(
+                RateProfile.burst(BELOW * saturation, Math.min(10, most) / BELOW, BEFORE_S, until), until + AFTER_S));
         Map<String, Object> report = result.report(BEFORE_S, until);
         delays(report, result, front.report(), before);
-        report.put("invertedSeconds", result.invertedSeconds(CHANCE));
-        report.put("backAfterS", result.backAfter(until, BACK_SHARE));
+        report.put("invertedSeconds", result.secondsWithPriorityInversion(CHANCE));
+        report.put("backAfterS", result.recoveryTimeS(until, BACK_SHARE));
         report.put("worthShareAfter", result.worthShare(until + 1, until + AFTER_S));
         if (plot != null) {
             LoadPlot.write(result, plot.getFileName().toString().replace(".png", ""), plot);
@@ -121,7 +122,7 @@
     }
 
     private static void delays(Map<String, Object> report, LoadResult result, JsonNode front, JsonNode before) {
-        report.put("answerP99Ms", result.answerDelays().getValueAtPercentile(99) / 1_000.0);
+        report.put("answerP99Ms", result.answerDelaysUs().getValueAtPercentile(99) / 1_000.0);
         report.put("loopP50Ms", front.get("loopP50Ms").asDouble());
         report.put("loopP99Ms", front.get("loopP99Ms").asDouble());
         report.put("loopMaxMs", front.get("loopMaxMs").asDouble());
@@ -177,14 +178,14 @@
     }
 
     private static LoadPlan plan(SimulatedPeers around, FrontProcess front) {
-        List<LoadPlan.Kind> kinds = List.of(
-                new LoadPlan.Kind("simulacion", "59821", 0.94, 1_500, 3_000, 1, 0.25),
-                new LoadPlan.Kind("tasacion-firma", "59828", 0.06, 1_200, 2_200, 8, 0.25));
+        List<LoadPlan.CallerClass> kinds = List.of(
+                new LoadPlan.CallerClass("simulacion", "59821", 0.94, 1_500, 3_000, 1, 0.25),
+                new LoadPlan.CallerClass("tasacion-firma", "59828", 0.06, 1_200, 2_200, 8, 0.25));
         return new LoadPlan(
                 List.of(front.address()),
                 SimulatedPeers.SUFFIX,
                 kinds,
-                Profile.steady(1),
+                RateProfile.steady(1),
                 1,
                 1,
                 3,
--- a/src/main/java/damsonseam/cli/BadDayCommand.java
+++ b/src/main/java/damsonseam/cli/BadDayCommand.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
-import damsonseam.audit.CallStory;
+import damsonseam.audit.CallTrace;
 import damsonseam.config.TimeSpan;
 import damsonseam.config.Yaml;
 import damsonseam.day.ScenarioRun;
@@ -92,7 +92,8 @@
                 found.put("broken", result.audit().findings().get(0));
                 found.put("day", day);
                 found.put(
-                        "story", CallStory.of(folder, result.audit().findings().get(0)));
+                        "story",
+                        CallTrace.forFinding(folder, result.audit().findings().get(0)));
                 System.out.println(new ObjectMapper()
                         .enable(SerializationFeature.INDENT_OUTPUT)
                         .writeValueAsString(found));
--- a/src/main/java/damsonseam/cli/BenchCommand.java
+++ b/src/main/java/damsonseam/cli/BenchCommand.java
@@ -1,7 +1,7 @@
 package damsonseam.cli;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import damsonseam.bench.Baseline;
+import damsonseam.bench.AdmissionVariant;
 import damsonseam.bench.DrainBench;
 import damsonseam.bench.MemoryBench;
 import damsonseam.bench.OverloadBench;
@@ -92,7 +92,7 @@
                 defaultValue = "LEVELS,NONE,QUEUE,RANDOM",
                 description = "What "
                         + "admits calls, one after another: ${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE}).")
-        private List<Baseline> admission;
+        private List<AdmissionVariant> admission;
 
         @Option(
                 names = "--java",
--- a/src/main/java/damsonseam/cli/LoadCommand.java
+++ b/src/main/java/damsonseam/cli/LoadCommand.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import damsonseam.config.FrontSettings;
 import damsonseam.config.Yaml;
-import damsonseam.load.Load;
 import damsonseam.load.LoadPlan;
 import damsonseam.load.LoadPlot;
 import damsonseam.load.LoadResult;
-import damsonseam.load.Profile;
+import damsonseam.load.LoadRunner;
+import damsonseam.load.RateProfile;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -143,12 +143,12 @@
         LoadPlan plan = plan();
         Map<String, Object> report = new LinkedHashMap<>();
         if (find) {
-            report.put("saturationPerS", Math.round(Load.saturation(plan, rate, seconds)));
+            report.put("saturationPerS", Math.round(LoadRunner.findSaturationRate(plan, rate, seconds)));
         } else {
-            LoadResult result = Load.run(plan);
+            LoadResult result = LoadRunner.run(plan);
             report.putAll(result.report(0, seconds));
             for (double p : new double[] {50, 99, 99.9}) {
-                report.put("answerP" + p + "Ms", result.answerDelays().getValueAtPercentile(p) / 1_000.0);
+                report.put("answerP" + p + "Ms", result.answerDelaysUs().getValueAtPercentile(p) / 1_000.0);
             }
             report.put("sentLate", result.sentLateCount());
             if (out != null) {
@@ -168,16 +168,16 @@
             }
             fronts.add(at);
         }
-        Profile profile =
+        RateProfile profile =
                 switch (shape) {
-                    case STEADY -> Profile.steady(rate);
-                    case BURST -> Profile.burst(rate, factor, seconds / 3, 2 * seconds / 3);
-                    case PUBLICATION -> Profile.publication(rate, factor, seconds);
+                    case STEADY -> RateProfile.steady(rate);
+                    case BURST -> RateProfile.burst(rate, factor, seconds / 3, 2 * seconds / 3);
+                    case PUBLICATION -> RateProfile.publication(rate, factor, seconds);
                 };
         String suffix = "e164.example.org";
-        List<LoadPlan.Kind> kinds = List.of(
-                new LoadPlan.Kind("simulacion", "59821", 94, 1_500, 3_000, 1, 0.25),
-                new LoadPlan.Kind("tasacion-firma", "59828", 6, 1_200, 2_200, 8, 0.25));
+        List<LoadPlan.CallerClass> kinds = List.of(
+                new LoadPlan.CallerClass("simulacion", "59821", 94, 1_500, 3_000, 1, 0.25),
+                new LoadPlan.CallerClass("tasacion-firma", "59828", 6, 1_200, 2_200, 8, 0.25));
         if (config != null) {
             FrontSettings settings = Yaml.read(config, FrontSettings.class);
             suffix = settings.enumSettings().suffix();
@@ -188,18 +188,18 @@
         return new LoadPlan(fronts, suffix, kinds, profile, seconds, seed, threads, senders, known, first);
     }
 
-    private List<LoadPlan.Kind> kinds(FrontSettings settings) throws Exception {
+    private List<LoadPlan.CallerClass> kinds(FrontSettings settings) throws Exception {
         if (shares != null && shares.size() != settings.numbers().size()) {
             throw new damsonseam.config.SettingsException("--shares: expected "
                     + settings.numbers().size() + " of them, as many as the settings have prefixes");
         }
-        List<LoadPlan.Kind> kinds = new ArrayList<>();
+        List<LoadPlan.CallerClass> kinds = new ArrayList<>();
         for (FrontSettings.NumberRange range : settings.numbers()) {
             FrontSettings.CallClassSettings of = settings.classes().stream()
                     .filter(c -> c.name().equals(range.callClass()))
                     .findFirst()
                     .orElseThrow();
-            kinds.add(new LoadPlan.Kind(
+            kinds.add(new LoadPlan.CallerClass(
                     of.name(),
                     range.prefix(),
                     shares == null ? 1 : shares.get(kinds.size()),
@@ -213,10 +213,10 @@
 
     private void leave(LoadResult result) throws IOException {
         Files.createDirectories(out);
-        for (int k = 0; k < result.kinds().size(); k++) {
-            Path file = out.resolve("stood-" + result.kinds().get(k).name() + ".hgrm");
+        for (int k = 0; k < result.callerClasses().size(); k++) {
+            Path file = out.resolve("stood-" + result.callerClasses().get(k).name() + ".hgrm");
             try (PrintStream to = new PrintStream(Files.newOutputStream(file), false, StandardCharsets.US_ASCII)) {
-                result.stoodDelays(k).outputPercentileDistribution(to, 1_000.0);
+                result.establishedDelaysUs(k).outputPercentileDistribution(to, 1_000.0);
             }
         }
         LoadPlot.write(result, "load", out.resolve("load.png"));
--- a/src/main/java/damsonseam/day/FaultInjector.java
+++ b/src/main/java/damsonseam/day/FaultInjector.java
@@ -161,7 +161,7 @@
     }
 
     private void stall(int front, long ms) {
-        around.logEvent(SimulatedPeers.frontName(front), WireLog.STALL, Long.toString(ms));
+        around.logEvent(SimulatedPeers.frontName(front), WireLog.PAUSED, Long.toString(ms));
         fronts.get(front).pause(ms);
     }
 
--- a/src/main/java/damsonseam/day/ScenarioRun.java
+++ b/src/main/java/damsonseam/day/ScenarioRun.java
@@ -3,7 +3,7 @@
 import damsonseam.RoutingPolicy;
 import damsonseam.audit.AuditFolder;
 import damsonseam.audit.AuditReport;
-import damsonseam.audit.World;
+import damsonseam.audit.RunParameters;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.front.FrontServer;
@@ -53,17 +53,17 @@
         Path wire = Files.createDirectories(out.resolve("wire"));
         List<FrontServer> fronts = new ArrayList<>();
         try (SimulatedPeers around = new SimulatedPeers(scenario, wire)) {
-            List<World.FrontAt> places = new ArrayList<>();
+            List<RunParameters.FrontAddress> places = new ArrayList<>();
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (int i = 0; i < scenario.fronts(); i++) {
                 FrontSettings settings = around.frontSettings(i, new Endpoint("127.0.0.1", 0));
                 FrontServer front = start(settings, decider, logCalls);
                 fronts.add(front);
                 addresses.add(front.enumAddress());
-                places.add(new World.FrontAt(
+                places.add(new RunParameters.FrontAddress(
                         SimulatedPeers.frontName(i), front.enumAddress().getPort()));
             }
-            AuditFolder.write(out, around.world(places));
+            AuditFolder.writeRunParameters(out, around.world(places));
             for (FrontServer front : fronts) {
                 if (!front.awaitReady(READY_MS)) {
                     throw new IOException("a front was not ready within " + READY_MS + " ms");
--- a/src/main/java/damsonseam/load/LoadPlan.java
+++ b/src/main/java/damsonseam/load/LoadPlan.java
@@ -6,43 +6,59 @@
 /**
  * A load.
  *
- * @param to fronts, asked in turn
+ * @param fronts fronts, asked in turn
  * @param suffix the domain of the numbers
- * @param kinds classes of caller
- * @param profile calls a second over time
- * @param seconds how long
+ * @param callerClasses classes of caller
+ * @param rateProfile calls a second over time
+ * @param durationS how long
  * @param seed of everything drawn
- * @param threads that send
- * @param senders addresses of 127.0.0.0/8 that questions come from, 1 for 127.0.0.1 alone
- * @param known numbers of each kind that are called again and again
- * @param first first-choice calculators that the numbers name, 1 to 100
+ * @param senderThreads that send
+ * @param sourceAddresses addresses of 127.0.0.0/8 that questions come from, 1 for 127.0.0.1 alone
+ * @param numbersPerClass numbers of each kind that are called again and again
+ * @param firstChoices first-choice calculators that the numbers name, 1 to 100
  */
 public record LoadPlan(
-        List<InetSocketAddress> to,
+        List<InetSocketAddress> fronts,
         String suffix,
-        List<Kind> kinds,
-        Profile profile,
-        double seconds,
+        List<CallerClass> callerClasses,
+        RateProfile rateProfile,
+        double durationS,
         long seed,
-        int threads,
-        int senders,
-        int known,
-        int first) {
+        int senderThreads,
+        int sourceAddresses,
+        int numbersPerClass,
+        int firstChoices) {
 
     /** Checks. */
     public LoadPlan {
-        if (to.isEmpty() || kinds.isEmpty()) {
+        if (fronts.isEmpty() || callerClasses.isEmpty()) {
             throw new IllegalArgumentException("a load needs a front and a class of caller");
         }
-        if (!(seconds > 0) || threads < 1 || senders < 1 || senders > 200 || known < 1 || first < 1 || first > 100) {
+        if (!(durationS > 0)
+                || senderThreads < 1
+                || sourceAddresses < 1
+                || sourceAddresses > 200
+                || numbersPerClass < 1
+                || firstChoices < 1
+                || firstChoices > 100) {
             throw new IllegalArgumentException("load: expected seconds over 0, one thread at least, 1 to 200 senders, "
                     + "one known number at least, 1 to 100 first choices");
         }
     }
 
     /** The same load with another profile and length. */
-    public LoadPlan with(Profile other, double length) {
-        return new LoadPlan(to, suffix, kinds, other, length, seed, threads, senders, known, first);
+    public LoadPlan withRateProfile(RateProfile other, double length) {
+        return new LoadPlan(
+                fronts,
+                suffix,
+                callerClasses,
+                other,
+                length,
+                seed,
+                senderThreads,
+                sourceAddresses,
+                numbersPerClass,
+                firstChoices);
     }
 
     /**
@@ -56,7 +72,7 @@
      * @param worth of a call that stands in its aim
      * @param lateShare part of the worth of one that stands later
      */
-    public record Kind(
+    public record CallerClass(
             String name,
             String prefix,
             double share,
--- a/src/main/java/damsonseam/load/LoadPlot.java
+++ b/src/main/java/damsonseam/load/LoadPlot.java
@@ -27,16 +27,16 @@
                 .build();
         chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideE);
         chart.getStyler().setYAxisLogarithmic(true);
-        for (int k = 0; k < result.kinds().size(); k++) {
-            String name = result.kinds().get(k).name();
+        for (int k = 0; k < result.callerClasses().size(); k++) {
+            String name = result.callerClasses().get(k).name();
             List<Double> at = new ArrayList<>();
             List<Double> offered = new ArrayList<>();
             List<Double> stood = new ArrayList<>();
-            for (double t = 0; t + WINDOW_S <= result.seconds(); t += WINDOW_S) {
+            for (double t = 0; t + WINDOW_S <= result.durationS(); t += WINDOW_S) {
                 at.add(t + WINDOW_S / 2);
                 // A logarithmic axis has no zero.
                 offered.add(Math.max(1, result.offered(k, t, t + WINDOW_S) / WINDOW_S));
-                stood.add(Math.max(1, result.stood(k, t, t + WINDOW_S) / WINDOW_S));
+                stood.add(Math.max(1, result.established(k, t, t + WINDOW_S) / WINDOW_S));
             }
             if (at.isEmpty()) {
                 throw new IOException("a load under " + WINDOW_S + " s has nothing to draw");
--- a/src/main/java/damsonseam/load/LoadResult.java
+++ b/src/main/java/damsonseam/load/LoadResult.java
@@ -17,7 +17,7 @@
     private static final long MOST_US = 60_000_000L;
 
     /** What became of a call. */
-    public enum End {
+    public enum Outcome {
         IN_AIM,
         LATE,
         REFUSED,
@@ -25,29 +25,29 @@
         UNANSWERED
     }
 
-    private final List<LoadPlan.Kind> kinds;
-    private final List<Histogram> stood = new ArrayList<>();
+    private final List<LoadPlan.CallerClass> callerClasses;
+    private final List<Histogram> establishedDelaysUs = new ArrayList<>();
     private final Histogram answered = new Histogram(MOST_US, 3);
     /** Counts by kind, slice of the due time, and end. */
     private final long[][][] slices;
 
     private long sentLate;
 
-    LoadResult(List<LoadPlan.Kind> kinds, double seconds) {
-        this.kinds = kinds;
-        slices = new long[kinds.size()][(int) (seconds * 1_000 / SLICE_MS) + 1][End.values().length];
-        kinds.forEach(k -> stood.add(new Histogram(MOST_US, 3)));
+    LoadResult(List<LoadPlan.CallerClass> kinds, double seconds) {
+        this.callerClasses = kinds;
+        slices = new long[kinds.size()][(int) (seconds * 1_000 / SLICE_MS) + 1][Outcome.values().length];
+        kinds.forEach(k -> establishedDelaysUs.add(new Histogram(MOST_US, 3)));
     }
 
-    void ended(int kind, double dueMs, End end, double delayMs) {
+    void recordOutcome(int kind, double dueMs, Outcome end, double delayMs) {
         long[][] of = slices[kind];
         of[Math.max(0, Math.min(of.length - 1, (int) (dueMs / SLICE_MS)))][end.ordinal()]++;
         long us = Math.max(0, Math.min(MOST_US, (long) (delayMs * 1_000)));
-        if (end != End.UNANSWERED) {
+        if (end != Outcome.UNANSWERED) {
             answered.recordValue(us);
         }
-        if (end == End.IN_AIM || end == End.LATE) {
-            stood.get(kind).recordValue(us);
+        if (end == Outcome.IN_AIM || end == Outcome.LATE) {
+            establishedDelaysUs.get(kind).recordValue(us);
         }
     }
 
@@ -58,18 +58,18 @@
     void add(LoadResult other) {
         for (int k = 0; k < slices.length; k++) {
             for (int s = 0; s < slices[k].length; s++) {
-                for (int e = 0; e < End.values().length; e++) {
+                for (int e = 0; e < Outcome.values().length; e++) {
                     slices[k][s][e] += other.slices[k][s][e];
                 }
             }
-            stood.get(k).add(other.stood.get(k));
+            establishedDelaysUs.get(k).add(other.establishedDelaysUs.get(k));
         }
         answered.add(other.answered);
         sentLate += other.sentLate;
     }
 
     /** Calls of a kind (-1: of all) with this end, due from one second to another. */
-    public long count(int kind, End end, double from, double until) {
+    public long count(int kind, Outcome end, double from, double until) {
         long count = 0;
         for (int k = 0; k < slices.length; k++) {
             int last = (int) Math.min(slices[k].length, Math.round(until * 1_000 / SLICE_MS));
@@ -83,26 +83,26 @@
     /** Calls of a kind (-1: of all) due in a span of seconds. */
     public long offered(int kind, double from, double until) {
         long count = 0;
-        for (End end : End.values()) {
+        for (Outcome end : Outcome.values()) {
             count += count(kind, end, from, until);
         }
         return count;
     }
 
     /** Calls that stood, in their aim or late. */
-    public long stood(int kind, double from, double until) {
-        return count(kind, End.IN_AIM, from, until) + count(kind, End.LATE, from, until);
+    public long established(int kind, double from, double until) {
+        return count(kind, Outcome.IN_AIM, from, until) + count(kind, Outcome.LATE, from, until);
     }
 
     /** Worth earned over worth offered in a span of seconds; 1 where none was offered. */
     public double worthShare(double from, double until) {
         double offered = 0;
         double earned = 0;
-        for (int k = 0; k < kinds.size(); k++) {
-            LoadPlan.Kind kind = kinds.get(k);
+        for (int k = 0; k < callerClasses.size(); k++) {
+            LoadPlan.CallerClass kind = callerClasses.get(k);
             offered += kind.worth() * offered(k, from, until);
             earned += kind.worth()
-                    * (count(k, End.IN_AIM, from, until) + kind.lateShare() * count(k, End.LATE, from, until));
+                    * (count(k, Outcome.IN_AIM, from, until) + kind.lateShare() * count(k, Outcome.LATE, from, until));
         }
         return offered == 0 ? 1 : earned / offered;
     }
@@ -111,14 +111,15 @@
      * Seconds in which a dearer kind fared worse than a cheaper one by more than chance: a share of its calls that
      * did not stand more than {@code margin} above the cheaper kind's. Kinds of under fifty calls are passed over.
      */
-    public int invertedSeconds(double margin) {
+    public int secondsWithPriorityInversion(double margin) {
         int inverted = 0;
         int seconds = slices[0].length * SLICE_MS / 1_000;
         for (int s = 0; s < seconds; s++) {
             boolean any = false;
-            for (int a = 0; a < kinds.size(); a++) {
-                for (int b = 0; b < kinds.size(); b++) {
-                    any |= kinds.get(a).worth() > kinds.get(b).worth() && lost(a, s) > lost(b, s) + margin;
+            for (int a = 0; a < callerClasses.size(); a++) {
+                for (int b = 0; b < callerClasses.size(); b++) {
+                    any |= callerClasses.get(a).worth() > callerClasses.get(b).worth()
+                            && lost(a, s) > lost(b, s) + margin;
                 }
             }
             inverted += any ? 1 : 0;
@@ -128,16 +129,16 @@
 
     private double lost(int kind, int second) {
         long offered = offered(kind, second, second + 1);
-        return offered < 50 ? 0 : 1 - stood(kind, second, second + 1) / (double) offered;
+        return offered < 50 ? 0 : 1 - established(kind, second, second + 1) / (double) offered;
     }
 
     /** Seconds after {@code from} until every slice has this share of its calls standing; NaN where it never does. */
-    public double backAfter(double from, double share) {
+    public double recoveryTimeS(double from, double share) {
         int last = slices[0].length * SLICE_MS / 1_000;
         double back = 0;
         for (double s = from; s < last; s += SLICE_MS / 1_000.0) {
             long offered = offered(-1, s, s + SLICE_MS / 1_000.0);
-            if (offered > 0 && stood(-1, s, s + SLICE_MS / 1_000.0) < share * offered) {
+            if (offered > 0 && established(-1, s, s + SLICE_MS / 1_000.0) < share * offered) {
                 back = s + SLICE_MS / 1_000.0 - from;
             }
         }
@@ -145,12 +146,12 @@
     }
 
     /** Delays of the calls of a kind that stood, in microseconds. */
-    public Histogram stoodDelays(int kind) {
-        return stood.get(kind);
+    public Histogram establishedDelaysUs(int kind) {
+        return establishedDelaysUs.get(kind);
     }
 
     /** Delays of all answers, in microseconds. */
-    public Histogram answerDelays() {
+    public Histogram answerDelaysUs() {
         return answered;
     }
 
@@ -160,12 +161,12 @@
     }
 
     /** The classes of caller. */
-    public List<LoadPlan.Kind> kinds() {
-        return kinds;
+    public List<LoadPlan.CallerClass> callerClasses() {
+        return callerClasses;
     }
 
     /** The length of the series, in seconds. */
-    public double seconds() {
+    public double durationS() {
         return slices[0].length * SLICE_MS / 1_000.0;
     }
 
@@ -173,15 +174,15 @@
     public Map<String, Object> report(double from, double until) {
         Map<String, Object> report = new LinkedHashMap<>();
         report.put("offeredPerS", Math.round(offered(-1, from, until) / (until - from)));
-        report.put("stoodPerS", Math.round(stood(-1, from, until) / (until - from)));
+        report.put("stoodPerS", Math.round(established(-1, from, until) / (until - from)));
         report.put("worthShare", round(worthShare(from, until)));
-        for (int k = 0; k < kinds.size(); k++) {
+        for (int k = 0; k < callerClasses.size(); k++) {
             Map<String, Object> of = new LinkedHashMap<>();
             of.put("offered", offered(k, from, until));
-            for (End end : End.values()) {
+            for (Outcome end : Outcome.values()) {
                 of.put(end.toString().toLowerCase(java.util.Locale.ROOT), count(k, end, from, until));
             }
-            report.put(kinds.get(k).name(), of);
+            report.put(callerClasses.get(k).name(), of);
         }
         return report;
     }
--- a/src/main/java/damsonseam/load/Load.java
+++ b/src/main/java/damsonseam/load/LoadRunner.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /** Runs loads, and finds the rate at which a front is saturated. */
-public final class Load {
+public final class LoadRunner {
     private static final int STEPS = 4;
     private static final double FEWEST_STAND = 0.99;
     private static final long START_NS = 20_000_000;
 
-    private Load() {}
+    private LoadRunner() {}
 
     /** Runs one load to its end, the patience of its last callers included. */
     public static LoadResult run(LoadPlan plan) throws IOException, InterruptedException {
         double peak = 0;
-        for (double t = 0; t <= plan.seconds(); t += plan.seconds() / 1_000) {
-            peak = Math.max(peak, plan.profile().at(t));
+        for (double t = 0; t <= plan.durationS(); t += plan.durationS() / 1_000) {
+            peak = Math.max(peak, plan.rateProfile().rateAt(t));
         }
         List<LoadSender> senders = new ArrayList<>();
         List<Thread> threads = new ArrayList<>();
         long origin = System.nanoTime() + START_NS;
-        for (int i = 0; i < plan.threads(); i++) {
+        for (int i = 0; i < plan.senderThreads(); i++) {
             LoadSender sender = new LoadSender(plan, i, origin, peak);
             senders.add(sender);
             threads.add(new Thread(sender, "load-" + i));
@@ -30,7 +30,7 @@
         for (Thread t : threads) {
             t.join();
         }
-        LoadResult all = new LoadResult(plan.kinds(), plan.seconds());
+        LoadResult all = new LoadResult(plan.callerClasses(), plan.durationS());
         for (LoadSender sender : senders) {
             all.add(sender.result());
         }
@@ -42,7 +42,7 @@
      * many do not, then halved in between; one bad try of two is forgiven, machines have hiccups. Each try takes
      * {@code seconds}; the first second of each is not counted.
      */
-    public static double saturation(LoadPlan plan, double from, double seconds)
+    public static double findSaturationRate(LoadPlan plan, double from, double seconds)
             throws IOException, InterruptedException {
         double good = 0;
         double bad = from;
@@ -62,7 +62,7 @@
     }
 
     private static boolean holds(LoadPlan plan, double perS, double seconds) throws IOException, InterruptedException {
-        LoadResult result = run(plan.with(Profile.steady(perS), seconds + 1));
-        return result.stood(-1, 1, seconds + 1) >= FEWEST_STAND * result.offered(-1, 1, seconds + 1);
+        LoadResult result = run(plan.withRateProfile(RateProfile.steady(perS), seconds + 1));
+        return result.established(-1, 1, seconds + 1) >= FEWEST_STAND * result.offered(-1, 1, seconds + 1);
     }
 }
--- a/src/main/java/damsonseam/load/LoadSender.java
+++ b/src/main/java/damsonseam/load/LoadSender.java
@@ -68,34 +68,40 @@
 
     LoadSender(LoadPlan plan, int ordinal, long originNs, double peakPerS) throws IOException {
         this.plan = plan;
-        part = 1.0 / plan.threads();
+        part = 1.0 / plan.senderThreads();
         origin = originNs;
         random = new SplittableRandom(plan.seed() * 31 + ordinal);
-        result = new LoadResult(plan.kinds(), plan.seconds());
-        mostPatience = plan.kinds().stream()
-                .mapToDouble(LoadPlan.Kind::patienceMs)
+        result = new LoadResult(plan.callerClasses(), plan.durationS());
+        mostPatience = plan.callerClasses().stream()
+                .mapToDouble(LoadPlan.CallerClass::patienceMs)
                 .max()
                 .orElse(1);
-        shares = plan.kinds().stream().mapToDouble(LoadPlan.Kind::share).sum();
+        shares = plan.callerClasses().stream()
+                .mapToDouble(LoadPlan.CallerClass::share)
+                .sum();
         double out = peakPerS * part * mostPatience / 1_000;
         int count = (int) Math.max(1, Math.min(MOST_SOCKETS, Math.ceil(out / OUT_PER_SOCKET)));
-        count = Math.max(count, Math.max(plan.to().size(), (plan.senders() + plan.threads() - 1) / plan.threads()));
+        count = Math.max(
+                count,
+                Math.max(
+                        plan.fronts().size(),
+                        (plan.sourceAddresses() + plan.senderThreads() - 1) / plan.senderThreads()));
         for (int i = 0; i < count; i++) {
-            int sender = (ordinal + i * plan.threads()) % plan.senders();
+            int sender = (ordinal + i * plan.senderThreads()) % plan.sourceAddresses();
             DatagramChannel channel = DatagramChannel.open();
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.SO_RCVBUF, BUFFER);
             byte[] from = {127, 0, 0, (byte) (1 + sender)};
             channel.bind(new InetSocketAddress(InetAddress.getByAddress(from), 0));
-            channel.connect(plan.to().get(i % plan.to().size()));
+            channel.connect(plan.fronts().get(i % plan.fronts().size()));
             Socket socket = new Socket(channel);
             channel.register(selector, SelectionKey.OP_READ, socket);
             sockets.add(socket);
         }
-        templates = plan.kinds().stream().map(this::template).toArray(byte[][]::new);
+        templates = plan.callerClasses().stream().map(this::template).toArray(byte[][]::new);
     }
 
-    private byte[] template(LoadPlan.Kind kind) {
+    private byte[] template(LoadPlan.CallerClass kind) {
         Message question = new Message(0);
         question.addRecord(
                 Record.newRecord(
@@ -121,14 +127,14 @@
     @Override
     public void run() {
         try {
-            double end = plan.seconds() * 1_000;
-            double due = plan.profile().after(0, mass());
+            double end = plan.durationS() * 1_000;
+            double due = plan.rateProfile().nextArrivalMs(0, mass());
             while (now() < end + mostPatience && (now() < end || waiting())) {
                 double now = now();
                 int sent = 0;
                 while (due <= now && due < end && sent++ < SENT_AT_ONCE) {
                     send(due, now);
-                    due = plan.profile().after(due, mass());
+                    due = plan.rateProfile().nextArrivalMs(due, mass());
                 }
                 read();
                 giveUp(now);
@@ -171,7 +177,7 @@
         int id = s.nextId;
         s.nextId = s.nextId % (IDS - 1) + 1;
         if (!Double.isNaN(s.dueAt[id])) {
-            end(s, id, LoadResult.End.UNANSWERED, now);
+            end(s, id, LoadResult.Outcome.UNANSWERED, now);
         }
         if (s.nextId == s.oldest) {
             s.oldest = s.oldest % (IDS - 1) + 1;
@@ -179,9 +185,10 @@
         byte[] octets = templates[kind];
         octets[0] = (byte) (id >>> 8);
         octets[1] = (byte) id;
-        long tail = Math.floorMod(sequence++ * plan.threads() + random.nextInt(plan.threads()), plan.known());
+        long tail = Math.floorMod(
+                sequence++ * plan.senderThreads() + random.nextInt(plan.senderThreads()), plan.numbersPerClass());
         // Two digits name the first choice, seven the caller; they are asked for in reverse, a label each.
-        long digits = tail % plan.first() * 10_000_000L + tail;
+        long digits = tail % plan.firstChoices() * 10_000_000L + tail;
         for (int i = 0; i < TAIL_DIGITS; i++) {
             octets[DnsCodec.HEADER_BYTES + 2 * i + 1] = (byte) ('0' + digits % 10);
             digits /= 10;
@@ -201,13 +208,13 @@
 
     private int draw() {
         double x = random.nextDouble() * shares;
-        for (int k = 0; k < plan.kinds().size() - 1; k++) {
-            x -= plan.kinds().get(k).share();
+        for (int k = 0; k < plan.callerClasses().size() - 1; k++) {
+            x -= plan.callerClasses().get(k).share();
             if (x < 0) {
                 return k;
             }
         }
-        return plan.kinds().size() - 1;
+        return plan.callerClasses().size() - 1;
     }
 
     /** Reads what has come; one look at all sockets, as a look at each costs more than the load itself. */
@@ -247,18 +254,19 @@
         double now = now();
         int rcode = in.get(3) & 0xf;
         boolean stands = rcode == 0 && in.getShort(6) > 0;
-        boolean inAim = now - s.dueAt[id] <= plan.kinds().get(s.kind[id]).aimMs();
+        boolean inAim =
+                now - s.dueAt[id] <= plan.callerClasses().get(s.kind[id]).aimMs();
         end(
                 s,
                 id,
                 stands
-                        ? inAim ? LoadResult.End.IN_AIM : LoadResult.End.LATE
-                        : rcode == 5 ? LoadResult.End.REFUSED : LoadResult.End.FAILED,
+                        ? inAim ? LoadResult.Outcome.IN_AIM : LoadResult.Outcome.LATE
+                        : rcode == 5 ? LoadResult.Outcome.REFUSED : LoadResult.Outcome.FAILED,
                 now);
     }
 
-    private void end(Socket s, int id, LoadResult.End end, double now) {
-        result.ended(s.kind[id], s.dueAt[id], end, now - s.dueAt[id]);
+    private void end(Socket s, int id, LoadResult.Outcome end, double now) {
+        result.recordOutcome(s.kind[id], s.dueAt[id], end, now - s.dueAt[id]);
         s.dueAt[id] = Double.NaN;
     }
 
@@ -267,10 +275,10 @@
             while (s.oldest != s.nextId) {
                 int id = s.oldest;
                 if (!Double.isNaN(s.dueAt[id])) {
-                    if (now - s.dueAt[id] < plan.kinds().get(s.kind[id]).patienceMs()) {
+                    if (now - s.dueAt[id] < plan.callerClasses().get(s.kind[id]).patienceMs()) {
                         break;
                     }
-                    end(s, id, LoadResult.End.UNANSWERED, now);
+                    end(s, id, LoadResult.Outcome.UNANSWERED, now);
                 }
                 s.oldest = s.oldest % (IDS - 1) + 1;
             }
--- a/src/main/java/damsonseam/standin/SimulatedPeers.java
+++ b/src/main/java/damsonseam/standin/SimulatedPeers.java
@@ -1,7 +1,7 @@
 package damsonseam.standin;
 
+import damsonseam.audit.RunParameters;
 import damsonseam.audit.WireLog;
-import damsonseam.audit.World;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.config.TimeSpan;
@@ -174,15 +174,15 @@
     }
 
     /** What the auditor must know of this run. */
-    public World world(List<World.FrontAt> fronts) {
+    public RunParameters world(List<RunParameters.FrontAddress> fronts) {
         CalculatorSettings each = scenario.calculators().each();
-        List<World.Numbers> numbers = scenario.load().classes().stream()
-                .map(k -> new World.Numbers(k.prefix(), k.patience().ms()))
+        List<RunParameters.NumberRange> numbers = scenario.load().classes().stream()
+                .map(k -> new RunParameters.NumberRange(k.prefix(), k.patience().ms()))
                 .toList();
-        List<World.Calculator> all = calculators.stream()
-                .map(c -> new World.Calculator(c.id(), c.pointCode(), each.setUpsPerS()))
+        List<RunParameters.Calculator> all = calculators.stream()
+                .map(c -> new RunParameters.Calculator(c.id(), c.pointCode(), each.setUpsPerS()))
                 .toList();
-        return new World(
+        return new RunParameters(
                 SUFFIX,
                 numbers,
                 fronts,
--- a/src/test/java/damsonseam/audit/AuditorTest.java
+++ b/src/test/java/damsonseam/audit/AuditorTest.java
@@ -31,12 +31,14 @@
     private static final int FRONT = 5_000;
     private final List<WireLog.Line> lines = new ArrayList<>();
 
-    private static World world() {
-        return new World(
+    private static RunParameters world() {
+        return new RunParameters(
                 "e164.example.org",
-                List.of(new World.Numbers("59821", 3_000)),
-                List.of(new World.FrontAt("front-5000", 53), new World.FrontAt("front-5001", 54)),
-                List.of(new World.Calculator("a", 1_000, 10), new World.Calculator("b", 1_001, 10)),
+                List.of(new RunParameters.NumberRange("59821", 3_000)),
+                List.of(
+                        new RunParameters.FrontAddress("front-5000", 53),
+                        new RunParameters.FrontAddress("front-5001", 54)),
+                List.of(new RunParameters.Calculator("a", 1_000, 10), new RunParameters.Calculator("b", 1_001, 10)),
                 250,
                 0.4,
                 12_000,
@@ -117,7 +119,7 @@
     private AuditReport audit() {
         Auditor auditor = new Auditor(world());
         lines.sort(Comparator.comparingLong(WireLog.Line::timeUs));
-        lines.forEach(auditor::line);
+        lines.forEach(auditor::accept);
         return auditor.finish();
     }
 
@@ -201,7 +203,7 @@
     void rule1AStandingAnswerAfterAStallThatOutlastedTheCaller() {
         ask(100, NUMBER);
         setUp(110, 1_000, 1, NUMBER);
-        at(2_000, "scenario", "front-5000", WireLog.STALL, "2000".getBytes());
+        at(2_000, "scenario", "front-5000", WireLog.PAUSED, "2000".getBytes());
         signal(3_500, 1_000, false, IsupMessage.of(1, IsupMessage.Type.ANM));
         answer(4_010, NUMBER, Rcode.NOERROR, "a");
         breaks(1, 1);
@@ -210,7 +212,7 @@
     @Test
     void rule1AFrontThatStoodStillAnswersWhenItRunsAgain() {
         ask(100, NUMBER);
-        at(2_000, "scenario", "front-5000", WireLog.STALL, "2000".getBytes());
+        at(2_000, "scenario", "front-5000", WireLog.PAUSED, "2000".getBytes());
         answer(4_010, NUMBER, Rcode.SERVFAIL, null);
         breaks(1, 0);
         assertEquals(1, audit().overtaken());
@@ -219,7 +221,7 @@
     @Test
     void rule1AStallIsNoExcuseForAnotherFrontOrForLater() {
         ask(100, NUMBER);
-        at(2_000, "scenario", "front-5001", WireLog.STALL, "2000".getBytes());
+        at(2_000, "scenario", "front-5001", WireLog.PAUSED, "2000".getBytes());
         answer(4_010, NUMBER, Rcode.SERVFAIL, null);
         breaks(1, 1);
     }
--- a/src/test/java/damsonseam/day/ScenarioSearchTest.java
+++ b/src/test/java/damsonseam/day/ScenarioSearchTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import damsonseam.audit.AuditReport;
-import damsonseam.audit.CallStory;
+import damsonseam.audit.CallTrace;
 import damsonseam.audit.Finding;
 import damsonseam.audit.WireLog;
 import damsonseam.config.Yaml;
@@ -106,7 +106,7 @@
             log.write(310, "front-5000", "a", WireLog.M3UA, signal(IsupMessages.release(4, 102)));
             log.write(400, "front:53", "callers:1", WireLog.DNS, answer.toWire());
         }
-        List<String> story = CallStory.of(folder, new Finding(5, 300, "front-5000", "set-up for " + number));
+        List<String> story = CallTrace.forFinding(folder, new Finding(5, 300, "front-5000", "set-up for " + number));
         assertEquals(
                 List.of(
                         "0.000100 s callers:1 > front:53: question 7",
@@ -114,7 +114,7 @@
                         "0.000300 s front-5000 > a: REL cause 102 on circuit 3",
                         "0.000400 s front:53 > callers:1: answer SERVFAIL"),
                 story);
-        assertEquals(List.of(), CallStory.of(folder, new Finding(4, 300, "all", "calculator a")));
+        assertEquals(List.of(), CallTrace.forFinding(folder, new Finding(4, 300, "all", "calculator a")));
     }
 
     private static byte[] signal(IsupMessage message) {
--- a/src/test/java/damsonseam/front/FrontOverloadTest.java
+++ b/src/test/java/damsonseam/front/FrontOverloadTest.java
@@ -10,10 +10,10 @@
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.E164Name;
 import damsonseam.dns.EdnsCallOption;
-import damsonseam.load.Load;
 import damsonseam.load.LoadPlan;
 import damsonseam.load.LoadResult;
-import damsonseam.load.Profile;
+import damsonseam.load.LoadRunner;
+import damsonseam.load.RateProfile;
 import damsonseam.standin.CalculatorSettings;
 import damsonseam.standin.Scenario;
 import damsonseam.standin.SimulatedPeers;
@@ -147,14 +147,14 @@
     /** Ten times what the calculators carry, through front and calculators at once: each call has one answer. */
     @Test
     void aBurstLeavesNoCallWithoutAnAnswer() throws Exception {
-        List<LoadPlan.Kind> kinds = List.of(
-                new LoadPlan.Kind("simulacion", "59821", 9, 1_500, 3_000, 1, 0.25),
-                new LoadPlan.Kind("tasacion-firma", "59828", 1, 1_200, 2_200, 8, 0.25));
-        LoadResult result = Load.run(new LoadPlan(
+        List<LoadPlan.CallerClass> kinds = List.of(
+                new LoadPlan.CallerClass("simulacion", "59821", 9, 1_500, 3_000, 1, 0.25),
+                new LoadPlan.CallerClass("tasacion-firma", "59828", 1, 1_200, 2_200, 8, 0.25));
+        LoadResult result = LoadRunner.run(new LoadPlan(
                 List.of(front.enumAddress()),
                 SimulatedPeers.SUFFIX,
                 kinds,
-                Profile.burst(200, 10, 1, 2),
+                RateProfile.burst(200, 10, 1, 2),
                 3,
                 5,
                 1,
@@ -162,7 +162,7 @@
                 500,
                 3));
         assertTrue(result.offered(-1, 1, 2) > 1_000, "offered " + result.offered(-1, 1, 2));
-        assertEquals(0, result.count(-1, LoadResult.End.UNANSWERED, 0, 3));
+        assertEquals(0, result.count(-1, LoadResult.Outcome.UNANSWERED, 0, 3));
         FrontReport report = front.report();
         assertEquals(
                 result.offered(-1, 0, 3),
--- a/src/test/java/damsonseam/load/LoadTest.java
+++ b/src/test/java/damsonseam/load/LoadTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class LoadTest {
-    private static final List<LoadPlan.Kind> KINDS = List.of(
-            new LoadPlan.Kind("cheap", "59821", 9, 1_500, 1_000, 1, 0.25),
-            new LoadPlan.Kind("dear", "59828", 1, 1_200, 1_000, 8, 0.25));
+    private static final List<LoadPlan.CallerClass> KINDS = List.of(
+            new LoadPlan.CallerClass("cheap", "59821", 9, 1_500, 1_000, 1, 0.25),
+            new LoadPlan.CallerClass("dear", "59828", 1, 1_200, 1_000, 8, 0.25));
 
     /** The mass between a time and the next arrival, summed in small steps, is the mass that was asked for. */
     @Property(tries = 300)
@@ -28,14 +28,14 @@
             @ForAll @DoubleRange(max = 20_000) double from,
             @ForAll @DoubleRange(min = 0.01, max = 500) double mass,
             @ForAll @DoubleRange(min = 1, max = 50) double rate) {
-        for (Profile profile :
-                List.of(Profile.steady(rate), Profile.burst(rate, 10, 5, 7), Profile.publication(rate, 8, 20))) {
-            double until = profile.after(from, mass);
+        for (RateProfile profile : List.of(
+                RateProfile.steady(rate), RateProfile.burst(rate, 10, 5, 7), RateProfile.publication(rate, 8, 20))) {
+            double until = profile.nextArrivalMs(from, mass);
             assertTrue(until > from);
             double sum = 0;
             double step = (until - from) / 20_000;
             for (int i = 0; i < 20_000; i++) {
-                sum += profile.at((from + (i + 0.5) * step) / 1_000) * step / 1_000;
+                sum += profile.rateAt((from + (i + 0.5) * step) / 1_000) * step / 1_000;
             }
             assertEquals(mass, sum, 0.01 * mass + 10 * rate * step / 1_000, () -> "from " + from);
         }
@@ -45,8 +45,8 @@
     void aProfileThatGoesBackIsRefused() {
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new Profile(List.of(new Profile.Point(2, 1), new Profile.Point(1, 1))));
-        assertEquals(Double.POSITIVE_INFINITY, Profile.steady(0).after(0, 1));
+                () -> new RateProfile(List.of(new RateProfile.Point(2, 1), new RateProfile.Point(1, 1))));
+        assertEquals(Double.POSITIVE_INFINITY, RateProfile.steady(0).nextArrivalMs(0, 1));
     }
 
     /** A responder that answers each question, but stands still once: whom it kept waiting is seen, sent or not. */
@@ -78,21 +78,21 @@
                     List.of((InetSocketAddress) server.getLocalSocketAddress()),
                     "e164.example.org",
                     KINDS,
-                    Profile.steady(500),
+                    RateProfile.steady(500),
                     1.5,
                     3,
                     1,
                     3,
                     100,
                     8);
-            LoadResult result = Load.run(plan);
+            LoadResult result = LoadRunner.run(plan);
             server.close();
             thread.join();
             long offered = result.offered(-1, 0, 2);
             assertEquals(750, offered, 150);
-            assertEquals(offered, result.stood(-1, 0, 2), "all were answered in the end");
+            assertEquals(offered, result.established(-1, 0, 2), "all were answered in the end");
             // 400 ms of 1,500 stood still: a quarter of all calls had to wait for the rest of it.
-            double p90 = result.answerDelays().getValueAtPercentile(90) / 1_000.0;
+            double p90 = result.answerDelaysUs().getValueAtPercentile(90) / 1_000.0;
             assertTrue(p90 > 200, "p90 " + p90 + " ms");
         }
     }
@@ -103,11 +103,11 @@
         try (DatagramSocket gone = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             port = gone.getLocalPort();
         }
-        LoadResult result = Load.run(new LoadPlan(
+        LoadResult result = LoadRunner.run(new LoadPlan(
                 List.of(new InetSocketAddress("127.0.0.1", port)),
                 "e164.example.org",
                 KINDS,
-                Profile.steady(200),
+                RateProfile.steady(200),
                 0.5,
                 3,
                 2,
@@ -115,7 +115,7 @@
                 100,
                 8));
         assertTrue(result.offered(-1, 0, 1) > 30);
-        assertEquals(result.offered(-1, 0, 1), result.count(-1, LoadResult.End.UNANSWERED, 0, 1));
+        assertEquals(result.offered(-1, 0, 1), result.count(-1, LoadResult.Outcome.UNANSWERED, 0, 1));
         assertEquals(0, result.worthShare(0, 1));
     }
 
@@ -124,14 +124,16 @@
         LoadResult result = new LoadResult(KINDS, 4);
         for (int i = 0; i < 4_000; i++) {
             boolean burst = i >= 1_000 && i < 2_000;
-            result.ended(0, i, burst ? LoadResult.End.REFUSED : LoadResult.End.IN_AIM, 3);
-            result.ended(1, i, i >= 2_000 && i < 2_300 ? LoadResult.End.REFUSED : LoadResult.End.IN_AIM, 5);
+            result.recordOutcome(0, i, burst ? LoadResult.Outcome.REFUSED : LoadResult.Outcome.IN_AIM, 3);
+            result.recordOutcome(
+                    1, i, i >= 2_000 && i < 2_300 ? LoadResult.Outcome.REFUSED : LoadResult.Outcome.IN_AIM, 5);
         }
-        assertEquals(1_000, result.stood(0, 0, 1));
-        assertEquals(0, result.stood(0, 1, 2));
+        assertEquals(1_000, result.established(0, 0, 1));
+        assertEquals(0, result.established(0, 1, 2));
         assertEquals(8 / 9.0, result.worthShare(1, 2), 1e-9);
-        assertEquals(1, result.invertedSeconds(0.05), "the third second refused dear ones and no cheap one");
-        assertEquals(0.3, result.backAfter(2, 0.99), 1e-9);
+        assertEquals(
+                1, result.secondsWithPriorityInversion(0.05), "the third second refused dear ones and no cheap one");
+        assertEquals(0.3, result.recoveryTimeS(2, 0.99), 1e-9);
         LoadPlot.write(result, "test", folder.resolve("load.png"));
         assertTrue(Files.size(folder.resolve("load.png")) > 1_000);
     }
