--- a/src/main/java/damsonseam/cli/NodeCommand.java
+++ b/src/main/java/damsonseam/cli/NodeCommand.java
@@ -44,10 +44,10 @@
             return RootCommand.EXIT_USAGE;
         }
         // First of all: a signal that comes during the start must neither end the process nor be lost.
-        Signals signals = new Signals();
-        Signal.handle(new Signal("HUP"), s -> signals.reload());
-        Signal.handle(new Signal("TERM"), s -> signals.end());
-        Signal.handle(new Signal("INT"), s -> signals.end());
+        ProcessSignals signals = new ProcessSignals();
+        Signal.handle(new Signal("HUP"), s -> signals.requestReload());
+        Signal.handle(new Signal("TERM"), s -> signals.requestShutdown());
+        Signal.handle(new Signal("INT"), s -> signals.requestShutdown());
         Path config = Path.of(file);
         // The story of each call costs as much as the call: it is told where TRACE is asked for.
         Level level = Level.toLevel(System.getenv("DAMSONSEAM_LOG"), Level.INFO);
@@ -55,12 +55,12 @@
         ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger(CallLog.NAME))
                 .setLevel(level.isGreaterOrEqual(Level.DEBUG) ? Level.WARN : Level.INFO);
         try {
-            if (signals.ended()) {
+            if (signals.isShutdownRequested()) {
                 return RootCommand.EXIT_OK; // Nobody has been able to connect.
             }
             NodeServer node = NodeServer.start(NodeConfig.read(config));
-            signals.running(() -> reload(config, node));
-            signals.awaitEnd();
+            signals.onStarted(() -> reload(config, node));
+            signals.awaitShutdown();
             node.drain();
             Logging.flush();
         } catch (SettingsException e) {
--- a/src/main/java/damsonseam/config/Endpoint.java
+++ b/src/main/java/damsonseam/config/Endpoint.java
@@ -5,15 +5,15 @@
 import java.net.InetSocketAddress;
 
 /**
- * An address as files write it: {@code 127.0.0.1:5353} or {@code [::1]:5353}. Port 0 lets the system choose.
+ * A host and port as written in settings files: {@code 127.0.0.1:5353} or {@code [::1]:5353}.
  *
- * @param host host name or address
- * @param port 0 to 65535
+ * @param host the host name or address, without brackets
+ * @param port the port, 0 to 65535; 0 lets the system choose one
  */
 public record Endpoint(String host, int port) {
     private static final int MAX_PORT = 65_535;
 
-    /** Reads one. */
+    /** Parses an endpoint. */
     @JsonCreator
     public static Endpoint parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -32,7 +32,7 @@
         }
     }
 
-    /** The socket address, resolved. */
+    /** Returns the socket address. Resolves the host name, which may block. */
     public InetSocketAddress toSocketAddress() {
         return new InetSocketAddress(host, port);
     }
--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -13,19 +13,19 @@
 import java.util.OptionalInt;
 
 /**
- * All settings of a front. They say what there is and what callers want; how calls are decided is in the
- * module and has no settings.
+ * All settings of a front, read from YAML; the component names are the keys. The settings describe the surroundings and
+ * the callers' requirements. How calls are decided is up to the decision module, which has no settings of its own.
  *
- * @param front who this front is
- * @param enumSettings the side that callers ask
- * @param classes classes of call
- * @param numbers which numbers are of which class; the longest prefix wins
- * @param upstream the authorities at which numbers are looked up
+ * @param front the identity of this front
+ * @param enumSettings the ENUM interface towards callers, key {@code enum}
+ * @param classes the call classes
+ * @param numbers the number ranges and their call classes; the longest prefix wins
+ * @param upstream the authoritative name servers for look-ups
  * @param directory the pool directory
- * @param trunks the trunk groups toward the calculators
- * @param fleet what all fronts share, the figures of the five rules among it
- * @param limits bounds of tables
- * @param overload levels of the front's own overload
+ * @param trunks the trunk groups towards the calculators
+ * @param fleet the settings common to all fronts, including the limits of the five rules
+ * @param limits the bounds of tables and queues
+ * @param overload the thresholds of the front's overload control
  */
 public record FrontSettings(
         Identity front,
@@ -39,14 +39,14 @@
         Limits limits,
         Overload overload) {
 
-    /** Checks what concerns several parts at once. */
+    /** Checks the required sections and the references between sections. */
     public FrontSettings {
         Preconditions.requirePresent(front, "front");
         Preconditions.requirePresent(enumSettings, "enum");
         Preconditions.requirePresent(upstream, "upstream");
         Preconditions.requirePresent(directory, "directory");
-        Preconditions.require(classes != null && !classes.isEmpty(), "classes: expected one class at least");
-        Preconditions.require(numbers != null && !numbers.isEmpty(), "numbers: expected one prefix at least");
+        Preconditions.require(classes != null && !classes.isEmpty(), "classes: expected at least one class");
+        Preconditions.require(numbers != null && !numbers.isEmpty(), "numbers: expected at least one prefix");
         trunks = Preconditions.orDefault(trunks, new Trunks(null, null, null, null, null, null, null, null));
         fleet = Preconditions.orDefault(fleet, new Fleet(null, null, null, null, null, null, null, null, null, null));
         limits = Preconditions.orDefault(limits, new Limits(null, null, null, null, null, null));
@@ -59,14 +59,14 @@
     }
 
     /**
-     * Who this front is.
+     * The identity of a front.
      *
-     * @param name for logs and the directory
-     * @param pointCode its signalling point code, 1 to 16383
-     * @param seed of its random choices; left out it is drawn at the start
+     * @param name the name in logs and at the directory
+     * @param pointCode the signalling point code, 1 to 16383
+     * @param seed the seed of random decisions, or null for a random one
      */
     public record Identity(String name, Integer pointCode, Long seed) {
-        /** Checks. */
+        /** Checks the values. */
         public Identity {
             Preconditions.requirePresent(name, "name");
             Preconditions.requireInRange(Preconditions.requirePresent(pointCode, "pointCode"), 1, 16_383, "pointCode");
@@ -74,15 +74,15 @@
     }
 
     /**
-     * The side that callers ask.
+     * The ENUM interface towards callers.
      *
-     * @param listen address and port of DNS, UDP and TCP alike
-     * @param suffix the domain under which numbers are asked for
-     * @param keepAnswers how long an answer is kept for a question sent again
-     * @param wayBack time kept free at the end of a caller's patience, for the way of the answer
+     * @param listen the address and port for DNS over UDP and TCP
+     * @param suffix the domain under which numbers are queried
+     * @param keepAnswers how long an answer is kept for retransmitted queries
+     * @param wayBack the time reserved at the end of a caller's patience for the network delay of the answer
      */
     public record EnumSettings(Endpoint listen, String suffix, TimeSpan keepAnswers, TimeSpan wayBack) {
-        /** Checks. */
+        /** Checks the values and applies defaults. */
         public EnumSettings {
             Preconditions.requirePresent(listen, "listen");
             E164Name.suffix(Preconditions.requirePresent(suffix, "suffix"));
@@ -92,19 +92,19 @@
     }
 
     /**
-     * A class of call.
+     * A call class.
      *
-     * @param name for logs only
-     * @param aim time in which its callers want a call to stand
-     * @param deadline time after which its callers give up for good
-     * @param worth of a call that stands in its aim
-     * @param lateShare part of the worth of one that stands later
+     * @param name the name, referenced by number ranges and used in logs
+     * @param aim the time within which callers want a call to be established
+     * @param deadline the time after which callers abandon a call for good
+     * @param worth the worth of a call established within its aim
+     * @param lateShare the share of the worth that remains for a call established later
      */
     public record CallClassSettings(String name, TimeSpan aim, TimeSpan deadline, Double worth, Double lateShare) {
-        /** Checks. */
+        /** Checks the values and applies defaults. */
         public CallClassSettings {
             Preconditions.requirePresent(name, "name");
-            Preconditions.require(Preconditions.requirePresent(aim, "aim").ms() > 0, "aim: expected over 0 ms");
+            Preconditions.require(Preconditions.requirePresent(aim, "aim").ms() > 0, "aim: expected more than 0 ms");
             Preconditions.require(
                     Preconditions.requirePresent(deadline, "deadline").ms() >= aim.ms(),
                     "deadline: expected at least the aim");
@@ -123,17 +123,17 @@
     }
 
     /**
-     * Numbers of one class.
+     * A range of numbers that belong to one call class.
      *
-     * @param prefix their leading digits, empty for all others
-     * @param callClass the name of the class
-     * @param patience how long their callers wait for one try
+     * @param prefix the leading digits of the numbers; empty for all numbers without another match
+     * @param callClass the name of the call class, key {@code class}
+     * @param patience how long a caller waits for the answer to one try
      */
     public record NumberRange(
             String prefix,
             @com.fasterxml.jackson.annotation.JsonProperty("class") String callClass,
             TimeSpan patience) {
-        /** Checks. */
+        /** Checks the values. */
         public NumberRange {
             Preconditions.requirePresent(prefix, "prefix");
             Preconditions.require(
@@ -141,19 +141,19 @@
             Preconditions.requirePresent(callClass, "class");
             Preconditions.require(
                     Preconditions.requirePresent(patience, "patience").ms() >= 100,
-                    "patience: expected 100 ms at least");
+                    "patience: expected at least 100 ms");
         }
     }
 
     /**
-     * Where numbers are looked up.
+     * The authoritative name servers for look-ups.
      *
-     * @param authorities name servers of the zone
+     * @param authorities the name servers of the zone
      * @param suffix the zone's domain, by default that of {@code enum}
-     * @param sockets UDP sockets to draw from
-     * @param tries questions sent for one look-up at most
-     * @param staleAfter when an old answer is given while authorities are silent
-     * @param staleFor how long old answers are kept past their time
+     * @param sockets the number of UDP sockets, from which each query picks one at random
+     * @param tries the maximum number of queries sent for one look-up
+     * @param staleAfter the time without an answer after which a stale cache entry is used
+     * @param staleFor how long cache entries are kept after they expire
      */
     public record Upstream(
             List<Endpoint> authorities,
@@ -162,9 +162,9 @@
             Integer tries,
             TimeSpan staleAfter,
             TimeSpan staleFor) {
-        /** Checks. */
+        /** Checks the values and applies defaults. */
         public Upstream {
-            Preconditions.require(authorities != null && !authorities.isEmpty(), "authorities: expected one at least");
+            Preconditions.require(authorities != null && !authorities.isEmpty(), "authorities: expected at least one");
             Preconditions.requireInRange(authorities.size(), 1, 16, "authorities");
             sockets = Preconditions.requireInRange(Preconditions.orDefault(sockets, 8), 1, 256, "sockets");
             tries = Preconditions.requireInRange(Preconditions.orDefault(tries, 6), 1, 32, "tries");
@@ -173,26 +173,30 @@
         }
     }
 
-    /** The pool directory: where it is. */
+    /**
+     * The pool directory.
+     *
+     * @param address the address of its gRPC service
+     */
     public record Directory(Endpoint address) {
-        /** Checks. */
+        /** Checks the values. */
         public Directory {
             Preconditions.requirePresent(address, "address");
         }
     }
 
     /**
-     * The trunk groups, one toward each calculator.
+     * The trunk groups, one towards each calculator. T1, T5 and T17 are the timers of Q.764.
      *
-     * @param circuits of each group
-     * @param probeTimeout time in which a probe must be answered
-     * @param heartbeat time between heartbeats, 0 ms for none
-     * @param t1 a release not completed is sent again
-     * @param t5 a circuit still not released is reset
-     * @param t17 a reset not completed is sent again
-     * @param connectTimeout time in which a connection must be made
-     * @param releaseWait how long the release complete of an attempt given up is awaited before the guard of
-     *     {@code fleet.releaseGuard} runs without it; the longest way of a message to a calculator
+     * @param circuits the number of circuits per group
+     * @param probeTimeout the time in which a probe must be answered
+     * @param heartbeat the interval of heartbeats, 0 ms for none
+     * @param t1 the time after which an unanswered release is repeated
+     * @param t5 the time after which a circuit that is still not released is reset
+     * @param t17 the time after which an unanswered reset is repeated
+     * @param connectTimeout the time in which a connection must be established
+     * @param releaseWait how long the release complete of an abandoned attempt is awaited before the guard
+     *     {@code fleet.releaseGuard} starts without it; the maximum network delay of a message to a calculator
      */
     public record Trunks(
             Integer circuits,
@@ -203,7 +207,7 @@
             TimeSpan t17,
             TimeSpan connectTimeout,
             TimeSpan releaseWait) {
-        /** Checks; the timers are Q.764's. */
+        /** Checks the values and applies defaults. */
         public Trunks {
             circuits = Preconditions.requireInRange(Preconditions.orDefault(circuits, 512), 1, 4095, "circuits");
             probeTimeout = Preconditions.orDefault(probeTimeout, TimeSpan.ms(250));
@@ -218,18 +222,18 @@
     }
 
     /**
-     * What all fronts share.
+     * Settings common to all fronts.
      *
-     * @param fronts how many there are
-     * @param maxAttempts set-ups of one call at most
+     * @param fronts the number of fronts
+     * @param maxAttempts the maximum number of set-ups per call
      * @param probes whether calculators may be probed
-     * @param drainGrace time in which sends to a server that drains or is gone must stop
-     * @param coldFrom share of its capacity at which a server starts
-     * @param warmWithin time after which it is warm
-     * @param tipMultiple multiple of its capacity that makes a cold server fall
-     * @param tipWindow time for which it must be sent that
-     * @param releaseGuard time after a bad end in which a call is not sent again
-     * @param maxReturnAdvice longest time that callers stay away when asked to
+     * @param drainGrace the time in which set-ups towards a draining or removed server must stop
+     * @param coldFrom the share of its full capacity that a cold server has at its start
+     * @param warmWithin the time after which a started server has its full capacity
+     * @param tipMultiple the load, as a multiple of its current capacity, that overloads a cold server until it fails
+     * @param tipWindow the time for which that load must last
+     * @param releaseGuard the time after a failed attempt during which the call is not sent again
+     * @param maxReturnAdvice the longest time for which callers may be asked to stay away
      */
     public record Fleet(
             Integer fronts,
@@ -242,7 +246,7 @@
             TimeSpan tipWindow,
             TimeSpan releaseGuard,
             TimeSpan maxReturnAdvice) {
-        /** Checks. */
+        /** Checks the values and applies defaults. */
         public Fleet {
             fronts = Preconditions.requireInRange(Preconditions.orDefault(fronts, 1), 1, 1_000_000, "fronts");
             maxAttempts = Preconditions.requireInRange(Preconditions.orDefault(maxAttempts, 4), 1, 100, "maxAttempts");
@@ -259,18 +263,18 @@
     }
 
     /**
-     * Bounds. What happens at each is said in docs/OPERATORS.md.
+     * Bounds of tables and queues. docs/OPERATORS.md describes what happens at each of them.
      *
-     * @param calls open at one time, standing ones included
-     * @param questions remembered for repeats
-     * @param numbers kept by the cache of look-ups
-     * @param lookups out at one time
-     * @param connections of callers over TCP
-     * @param drain time that the end of the program gives open calls
+     * @param calls the maximum number of open calls, including established ones
+     * @param questions the maximum number of queries remembered to recognize retransmissions
+     * @param numbers the maximum number of numbers in the look-up cache
+     * @param lookups the maximum number of concurrent look-ups
+     * @param connections the maximum number of callers' TCP connections
+     * @param drain how long a shutdown waits for open calls to be answered
      */
     public record Limits(
             Integer calls, Integer questions, Integer numbers, Integer lookups, Integer connections, TimeSpan drain) {
-        /** Checks. */
+        /** Checks the values and applies defaults. */
         public Limits {
             calls = Preconditions.requireInRange(Preconditions.orDefault(calls, 100_000), 1, 10_000_000, "calls");
             questions = Preconditions.requireInRange(
@@ -284,16 +288,17 @@
     }
 
     /**
-     * Levels of the front's own overload, see docs/OVERLOAD.md.
+     * Thresholds of the front's overload control, see docs/OVERLOAD.md.
      *
-     * @param delayOnset wait before the front looks at a call, from which calls of least worth are refused
-     * @param delayCeiling the same, from which the dearest are refused too
-     * @param memoryOnset share of the heap in use after collections, from which caches and then calls give way
-     * @param memoryCeiling the same, from which the dearest calls are refused too
-     * @param tableOnset share of the call table and of the look-ups that is open to calls of any worth
-     * @param forecast how far ahead memory in use is foreseen
-     * @param fairMultiple fair shares that one sender may ask before what is above them is refused first
-     * @param queue calls of each worth that may wait before the loop
+     * @param delayOnset the queueing delay from which calls of the lowest worth are refused
+     * @param delayCeiling the queueing delay from which calls of the highest worth are refused too
+     * @param memoryOnset the share of the heap in use after collections from which caches are reduced and then calls
+     *     refused
+     * @param memoryCeiling the share of the heap in use from which calls of the highest worth are refused too
+     * @param tableOnset the share of the call table, look-ups and open files that is open to calls of any worth
+     * @param forecast how far ahead memory use is extrapolated
+     * @param fairMultiple the multiple of its fair share above which a sender's calls are refused first
+     * @param queue the maximum number of calls of each worth that wait for the event loop
      */
     public record Overload(
             TimeSpan delayOnset,
@@ -304,7 +309,7 @@
             TimeSpan forecast,
             Double fairMultiple,
             Integer queue) {
-        /** Checks and defaults. */
+        /** Checks the values and applies defaults. */
         public Overload {
             delayOnset = Preconditions.orDefault(delayOnset, TimeSpan.ms(20));
             delayCeiling = Preconditions.orDefault(delayCeiling, TimeSpan.ms(100));
@@ -339,7 +344,7 @@
         }
     }
 
-    /** The levels of the front's own overload. */
+    /** Returns the thresholds of the front's overload control. */
     public OverloadSettings overloadSettings() {
         return Overload.overloadSettings(
                 overload.delayOnset(),
@@ -352,24 +357,27 @@
                 fleet.maxReturnAdvice().ms());
     }
 
-    /** The ranks of the classes by worth. */
+    /** Returns the ranks of the call classes by worth. */
     public Ranks ranks() {
         return new Ranks(classes.stream().map(CallClassSettings::worth).toList());
     }
 
-    /** Time between beats of the front's loop, in milliseconds: a quarter of the module's own. */
+    /** Interval of the event loop's ticks: a quarter of the decision module's default tick. */
     public static final double TICK_MS = 5;
-    /** Answers later than this after the caller's time do not count; also the core's own last moment. */
+    /**
+     * Answers later than this after the end of a caller's patience do not count. Also how long before that end the core
+     * itself fails a call that is still unanswered.
+     */
     public static final double ANSWER_SLACK_MS = 20;
 
-    /** What the module is given. */
+    /** Returns the settings of the decision module. */
     public Settings moduleSettings(long seed) {
-        List<CallClass> forModule = new ArrayList<>();
-        classes.forEach(c -> forModule.add(c.toCallClass()));
+        List<CallClass> callClasses = new ArrayList<>();
+        classes.forEach(c -> callClasses.add(c.toCallClass()));
         return new Settings(
                 seed,
                 OptionalInt.of(fleet.fronts()),
-                forModule,
+                callClasses,
                 OptionalInt.empty(),
                 OptionalInt.of(fleet.maxAttempts()),
                 Optional.of(true),
@@ -388,16 +396,16 @@
                 OptionalDouble.of(fleet.maxReturnAdvice().ms()));
     }
 
-    /** The plan of numbers. */
+    /** Returns the number plan. */
     public NumberPlan numberPlan() {
         List<NumberPlan.Entry> entries = new ArrayList<>();
         for (NumberRange range : numbers) {
-            int place = 0;
-            while (!classes.get(place).name().equals(range.callClass())) {
-                place++;
+            int classIndex = 0;
+            while (!classes.get(classIndex).name().equals(range.callClass())) {
+                classIndex++;
             }
-            entries.add(
-                    new NumberPlan.Entry(range.prefix(), place, range.patience().ms()));
+            entries.add(new NumberPlan.Entry(
+                    range.prefix(), classIndex, range.patience().ms()));
         }
         return new NumberPlan(entries);
     }
--- a/src/main/java/damsonseam/config/Preconditions.java
+++ b/src/main/java/damsonseam/config/Preconditions.java
@@ -1,16 +1,16 @@
 package damsonseam.config;
 
-/** Checks of values, used by the records of settings as they are made. */
+/** Checks and defaults for the components of settings records. Failed checks throw IllegalArgumentException. */
 public final class Preconditions {
 
     private Preconditions() {}
 
-    /** The value, or its default where the file gives none. */
+    /** Returns the value, or {@code defaultValue} if the file does not give it. */
     public static <T> T orDefault(T value, T defaultValue) {
         return value == null ? defaultValue : value;
     }
 
-    /** The value, which the file must give. */
+    /** Returns the value; throws if the file does not give it. */
     public static <T> T requirePresent(T value, String name) {
         if (value == null) {
             throw new IllegalArgumentException(name + " is missing");
@@ -18,7 +18,7 @@
         return value;
     }
 
-    /** The value, which must lie from {@code least} to {@code most}. */
+    /** Returns the value; throws unless it lies between {@code min} and {@code max}, both inclusive. */
     public static int requireInRange(int value, int min, int max, String name) {
         if (value < min || value > max) {
             throw new IllegalArgumentException(name + ": expected " + min + " to " + max + ", found " + value);
@@ -26,7 +26,7 @@
         return value;
     }
 
-    /** The value, which must lie from {@code least} to {@code most}. */
+    /** Returns the value; throws unless it lies between {@code min} and {@code max}, both inclusive. */
     public static double requireInRange(double value, double min, double max, String name) {
         if (!(value >= min && value <= max)) {
             throw new IllegalArgumentException(name + ": expected " + min + " to " + max + ", found " + value);
@@ -34,7 +34,7 @@
         return value;
     }
 
-    /** Fails with the message unless the condition holds. */
+    /** Throws with the message unless the condition holds. */
     public static void require(boolean condition, String message) {
         if (!condition) {
             throw new IllegalArgumentException(message);
--- a/src/main/java/damsonseam/config/SettingsException.java
+++ b/src/main/java/damsonseam/config/SettingsException.java
@@ -1,10 +1,10 @@
 package damsonseam.config;
 
-/** A settings or scenario file that can't be used; the message is one line with file, line and expectation. */
+/** Thrown for an invalid settings or scenario file. The message is one line: file, line and the expected value. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** A fault in a file. */
+    /** Creates an exception with a message for the operator. */
     public SettingsException(String message) {
         super(message);
     }
--- a/src/main/java/damsonseam/config/TimeSpan.java
+++ b/src/main/java/damsonseam/config/TimeSpan.java
@@ -7,32 +7,32 @@
 import java.util.regex.Pattern;
 
 /**
- * A length of time as files write it: a number and its unit, such as {@code 250 ms} or {@code 1.5 s}.
+ * A duration as written in settings files: a number and its unit, such as {@code 250 ms} or {@code 1.5 s}.
  *
- * @param ms milliseconds
+ * @param ms the duration in milliseconds
  */
 public record TimeSpan(double ms) {
     private static final Pattern FORMAT = Pattern.compile("(\\d+(?:\\.\\d+)?)\\s*(ms|s|min|h|d)");
 
-    /** Reads one; a number without a unit is refused, as nobody can tell what it means. */
+    /** Parses a duration. A number without a unit is rejected as ambiguous. */
     @JsonCreator
     public static TimeSpan parse(String text) {
-        Matcher m = FORMAT.matcher(text.trim().toLowerCase(Locale.ROOT));
-        if (!m.matches()) {
+        Matcher matcher = FORMAT.matcher(text.trim().toLowerCase(Locale.ROOT));
+        if (!matcher.matches()) {
             throw new IllegalArgumentException("expected a time with its unit, such as 250 ms or 1.5 s, found " + text);
         }
-        double unit =
-                switch (m.group(2)) {
+        double unitMs =
+                switch (matcher.group(2)) {
                     case "ms" -> 1;
                     case "s" -> 1_000;
                     case "min" -> 60_000;
                     case "h" -> 3_600_000;
                     default -> 86_400_000;
                 };
-        return new TimeSpan(Double.parseDouble(m.group(1)) * unit);
+        return new TimeSpan(Double.parseDouble(matcher.group(1)) * unitMs);
     }
 
-    /** So many milliseconds. */
+    /** Returns a duration of {@code ms} milliseconds. */
     public static TimeSpan ms(double ms) {
         return new TimeSpan(ms);
     }
--- a/src/main/java/damsonseam/config/UnknownKeyCheck.java
+++ b/src/main/java/damsonseam/config/UnknownKeyCheck.java
@@ -12,74 +12,75 @@
 import java.util.Map;
 
 /**
- * Finds keys that no record has, before values are bound: a misspelt key would else show as another one that is
- * missing. Walks the file beside the types of the records.
+ * Finds unknown keys in a YAML file before its values are bound; otherwise a misspelt key would be reported as a
+ * missing one. Walks the parsed file and the component types of the records in parallel.
  */
 final class UnknownKeyCheck {
-    private final String name;
+    private final String fileName;
 
     private UnknownKeyCheck(String name) {
-        this.name = name;
+        this.fileName = name;
     }
 
-    /** Refuses the first unknown key, with its line and the nearest known one. */
-    static void check(String name, JsonParser in, Class<?> type) throws IOException, SettingsException {
-        if (in.nextToken() != null) {
-            new UnknownKeyCheck(name).value(in, type, "");
+    /** Throws for the first unknown key, naming its line and the most similar known key. */
+    static void check(String name, JsonParser parser, Class<?> type) throws IOException, SettingsException {
+        if (parser.nextToken() != null) {
+            new UnknownKeyCheck(name).checkValue(parser, type, "");
         }
     }
 
-    private void value(JsonParser in, Type type, String place) throws IOException, SettingsException {
-        if (in.currentToken() == JsonToken.START_ARRAY) {
+    private void checkValue(JsonParser parser, Type type, String path) throws IOException, SettingsException {
+        if (parser.currentToken() == JsonToken.START_ARRAY) {
             Type element = type instanceof ParameterizedType p && p.getRawType() == List.class
                     ? p.getActualTypeArguments()[0]
                     : Object.class;
-            for (int i = 0; in.nextToken() != JsonToken.END_ARRAY; i++) {
-                value(in, element, place + "[" + i + "]");
+            for (int i = 0; parser.nextToken() != JsonToken.END_ARRAY; i++) {
+                checkValue(parser, element, path + "[" + i + "]");
             }
-        } else if (in.currentToken() == JsonToken.START_OBJECT) {
-            if (type instanceof Class<?> of && of.isRecord()) {
-                object(in, of, place);
+        } else if (parser.currentToken() == JsonToken.START_OBJECT) {
+            if (type instanceof Class<?> recordType && recordType.isRecord()) {
+                checkObject(parser, recordType, path);
             } else {
-                in.skipChildren();
+                parser.skipChildren();
             }
         }
     }
 
-    private void object(JsonParser in, Class<?> of, String place) throws IOException, SettingsException {
-        Map<String, Type> known = new LinkedHashMap<>();
-        for (RecordComponent c : of.getRecordComponents()) {
-            JsonProperty renamed = c.getAccessor().getAnnotation(JsonProperty.class);
-            known.put(renamed == null ? c.getName() : renamed.value(), c.getGenericType());
+    private void checkObject(JsonParser parser, Class<?> recordType, String path)
+            throws IOException, SettingsException {
+        Map<String, Type> typesByKey = new LinkedHashMap<>();
+        for (RecordComponent component : recordType.getRecordComponents()) {
+            JsonProperty annotation = component.getAccessor().getAnnotation(JsonProperty.class);
+            typesByKey.put(annotation == null ? component.getName() : annotation.value(), component.getGenericType());
         }
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String key = in.currentName();
-            String path = place.isEmpty() ? key : place + "." + key;
-            if (!known.containsKey(key)) {
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String key = parser.currentName();
+            String keyPath = path.isEmpty() ? key : path + "." + key;
+            if (!typesByKey.containsKey(key)) {
                 throw new SettingsException(
-                        name + ":" + in.currentTokenLocation().getLineNr() + ": " + path
-                                + ": unknown key, the nearest is " + nearest(key, known));
+                        fileName + ":" + parser.currentTokenLocation().getLineNr() + ": " + keyPath
+                                + ": unknown key, the nearest is " + closest(key, typesByKey));
             }
-            in.nextToken();
-            value(in, known.get(key), path);
+            parser.nextToken();
+            checkValue(parser, typesByKey.get(key), keyPath);
         }
     }
 
-    private static String nearest(String key, Map<String, Type> known) {
-        String best = "";
-        int least = Integer.MAX_VALUE;
-        for (String candidate : known.keySet()) {
-            int distance = distance(key, candidate);
-            if (distance < least) {
-                least = distance;
-                best = candidate;
+    private static String closest(String key, Map<String, Type> typesByKey) {
+        String closest = "";
+        int minDistance = Integer.MAX_VALUE;
+        for (String candidate : typesByKey.keySet()) {
+            int distance = editDistance(key, candidate);
+            if (distance < minDistance) {
+                minDistance = distance;
+                closest = candidate;
             }
         }
-        return best;
+        return closest;
     }
 
-    /** Edits between two words (Levenshtein). */
-    static int distance(String a, String b) {
+    /** Returns the Levenshtein distance of two words. */
+    static int editDistance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
             row[j] = j;
--- a/src/main/java/damsonseam/config/Yaml.java
+++ b/src/main/java/damsonseam/config/Yaml.java
@@ -14,7 +14,7 @@
 import java.nio.file.Path;
 import java.util.stream.Collectors;
 
-/** Reads YAML files into records. */
+/** Reads YAML files into records and reports faults as one-line errors. */
 public final class Yaml {
     private static final long MAX_FILE_BYTES = 4 << 20;
     private static final ObjectMapper MAPPER = new YAMLMapper(new YAMLFactory())
@@ -27,12 +27,12 @@
     /**
      * Reads a file.
      *
-     * @throws SettingsException in one line: file, line, key and what was expected
+     * @throws SettingsException if the file is invalid; its one-line message names file, line, key and expected value
      */
     public static <T> T read(Path file, Class<T> type) throws SettingsException {
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
-                throw new SettingsException(file + ": over " + MAX_FILE_BYTES + " octets");
+                throw new SettingsException(file + ": larger than " + MAX_FILE_BYTES + " bytes");
             }
             return parse(file.toString(), Files.readString(file, StandardCharsets.UTF_8), type);
         } catch (IOException e) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Reads a text; {@code name} stands for it in messages. */
+    /** Parses a text; {@code name} names it in error messages. */
     public static <T> T parse(String name, String text, Class<T> type) throws SettingsException {
         try {
             try (JsonParser in = MAPPER.createParser(text)) {
@@ -52,8 +52,8 @@
             }
             return value;
         } catch (JsonProcessingException e) {
-            JsonLocation at = e.getLocation();
-            String line = at == null ? "" : ":" + at.getLineNr();
+            JsonLocation location = e.getLocation();
+            String line = location == null ? "" : ":" + location.getLineNr();
             throw new SettingsException(name + line + ": " + keyPath(e) + description(e));
         } catch (IOException e) {
             throw new SettingsException(name + ": " + e.getMessage());
@@ -65,7 +65,9 @@
             return "";
         }
         return mapping.getPath().stream()
-                        .map(r -> r.getFieldName() == null ? "[" + r.getIndex() + "]" : "." + r.getFieldName())
+                        .map(reference -> reference.getFieldName() == null
+                                ? "[" + reference.getIndex() + "]"
+                                : "." + reference.getFieldName())
                         .collect(Collectors.joining())
                         .replaceFirst("^\\.", "")
                 + ": ";
@@ -77,7 +79,7 @@
             return cause.getMessage();
         }
         String message = e.getOriginalMessage();
-        int cut = message.indexOf('\n');
-        return cut < 0 ? message : message.substring(0, cut);
+        int lineEnd = message.indexOf('\n');
+        return lineEnd < 0 ? message : message.substring(0, lineEnd);
     }
 }
--- a/src/main/java/damsonseam/config/package-info.java
+++ b/src/main/java/damsonseam/config/package-info.java
@@ -1,2 +1,2 @@
-/** Settings files: YAML read into checked records, with errors that name file, line and what was expected. */
+/** Settings files: YAML is read into validated records; errors name the file, the line and the expected value. */
 package damsonseam.config;
--- a/src/test/java/damsonseam/front/FrontOverloadTest.java
+++ b/src/test/java/damsonseam/front/FrontOverloadTest.java
@@ -37,41 +37,44 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 
-/** A real front on loopback sockets that is asked for more than it can do. */
+/**
+ * A real front on loopback sockets under overload. Guards against calls that get no answer or two, low-worth calls that
+ * displace high-worth ones, and callers locked out by idle connections.
+ */
 class FrontOverloadTest {
-    private static final int MOST_CONNECTIONS = 3;
-    private Surroundings around;
+    private static final int MAX_CONNECTIONS = 3;
+    private Surroundings surroundings;
     private FrontServer front;
 
     @BeforeEach
     void start() throws Exception {
-        CalculatorSettings fast =
+        CalculatorSettings fastCalculators =
                 new CalculatorSettings(2_000.0, null, null, null, null, 20_000, null, null, null, null, null);
-        around = new Surroundings(
+        surroundings = new Surroundings(
                 new Scenario(
                         "test",
                         null,
                         1L,
                         1,
-                        new Scenario.Calculators(3, fast),
+                        new Scenario.Calculators(3, fastCalculators),
                         null,
                         new Scenario.Directory(TimeSpan.ms(0), null),
                         null,
                         null),
                 null);
-        FrontSettings s = around.frontSettings(0, new Endpoint("127.0.0.1", 0));
+        FrontSettings settings = surroundings.frontSettings(0, new Endpoint("127.0.0.1", 0));
         front = FrontServer.start(
                 new FrontSettings(
-                        s.front(),
-                        s.enumSettings(),
-                        s.classes(),
-                        s.numbers(),
-                        s.upstream(),
-                        s.directory(),
-                        s.trunks(),
-                        s.fleet(),
-                        new FrontSettings.Limits(null, null, null, null, MOST_CONNECTIONS, null),
-                        s.overload()),
+                        settings.front(),
+                        settings.enumSettings(),
+                        settings.classes(),
+                        settings.numbers(),
+                        settings.upstream(),
+                        settings.directory(),
+                        settings.trunks(),
+                        settings.fleet(),
+                        new FrontSettings.Limits(null, null, null, null, MAX_CONNECTIONS, null),
+                        settings.overload()),
                 false);
         assertTrue(front.awaitReady(20_000));
     }
@@ -79,7 +82,7 @@
     @AfterEach
     void stop() {
         front.close();
-        around.close();
+        surroundings.close();
     }
 
     private static Message question(int id, String number) {
@@ -98,54 +101,56 @@
         return java.util.Arrays.copyOf(packet.getData(), packet.getLength());
     }
 
-    private void send(DatagramSocket socket, byte[] octets) throws Exception {
-        socket.send(new DatagramPacket(octets, octets.length, front.enumAddress()));
+    private void send(DatagramSocket socket, byte[] message) throws Exception {
+        socket.send(new DatagramPacket(message, message.length, front.enumAddress()));
     }
 
     /**
-     * The loop stands still while calls come: the cheap are refused at once, by the thread that still runs, the dear
-     * wait for it; what is asked again gets the very same answer, and each call has one.
+     * The event loop is paused while calls arrive. The intake thread refuses low-worth calls at once, high-worth calls
+     * wait in the queue. Each call gets one answer, and a retransmitted question gets the identical answer.
      */
     @Test
-    void whileTheLoopStandsStillTheCheapAreToldAndTheDearWait() throws Exception {
+    void pausedEventLoopRefusesLowWorthAtOnceAndQueuesHighWorthCalls() throws Exception {
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.setSoTimeout(10_000);
-            // Room for all answers, as none is read before the last question is sent.
+            // Holds all answers: none is read before the last question is sent.
             socket.setReceiveBufferSize(4 << 20);
             front.pauseLoop(400);
-            int each = 300;
+            int callsPerClass = 300;
             Map<Integer, byte[]> questions = new HashMap<>();
-            for (int i = 0; i < 2 * each; i++) {
-                byte[] octets = question(i, String.format("5982%s00%07d", i % 2 == 0 ? "1" : "8", i))
+            for (int i = 0; i < 2 * callsPerClass; i++) {
+                byte[] question = question(i, String.format("5982%s00%07d", i % 2 == 0 ? "1" : "8", i))
                         .toWire();
-                questions.put(i, octets);
-                send(socket, octets);
+                questions.put(i, question);
+                send(socket, question);
                 Thread.sleep(i % 30 == 0 ? 10 : 0);
             }
             Map<Integer, byte[]> answers = new HashMap<>();
-            int refusedCheap = 0;
-            int refusedDear = 0;
-            while (answers.size() < 2 * each) {
+            int refusedLowWorth = 0;
+            int refusedHighWorth = 0;
+            while (answers.size() < 2 * callsPerClass) {
                 byte[] answer = receive(socket);
                 int id = DnsCodec.id(answer);
                 assertTrue(answers.put(id, answer) == null, "a second answer for " + id);
                 boolean refused = DnsCodec.decode(answer).getRcode() == Rcode.REFUSED;
-                refusedCheap += refused && id % 2 == 0 ? 1 : 0;
-                refusedDear += refused && id % 2 != 0 ? 1 : 0;
+                refusedLowWorth += refused && id % 2 == 0 ? 1 : 0;
+                refusedHighWorth += refused && id % 2 != 0 ? 1 : 0;
             }
-            // How many depends on how fast this machine sends; that the dear wait longer does not.
-            assertTrue(refusedCheap > 0, refusedCheap + " cheap refused");
-            assertTrue(refusedDear < refusedCheap, refusedDear + " dear refused, " + refusedCheap + " cheap");
-            for (int id = 0; id < 2 * each; id += 37) {
+            // The numbers depend on this machine's send rate; that high-worth calls wait longer does not.
+            assertTrue(refusedLowWorth > 0, refusedLowWorth + " low-worth calls refused");
+            assertTrue(
+                    refusedHighWorth < refusedLowWorth,
+                    refusedHighWorth + " high-worth calls refused, " + refusedLowWorth + " low-worth");
+            for (int id = 0; id < 2 * callsPerClass; id += 37) {
                 send(socket, questions.get(id));
-                assertArrayEquals(answers.get(id), receive(socket), "asked again: " + id);
+                assertArrayEquals(answers.get(id), receive(socket), "retransmitted: " + id);
             }
         }
     }
 
-    /** Ten times what the calculators carry, through front and calculators at once: each call has one answer. */
+    /** A burst of ten times the calculators' capacity through front and calculators: each call gets one answer. */
     @Test
-    void aBurstLeavesNoCallWithoutAnAnswer() throws Exception {
+    void everyCallOfABurstIsAnswered() throws Exception {
         List<LoadPlan.Kind> kinds = List.of(
                 new LoadPlan.Kind("simulacion", "59821", 9, 1_500, 3_000, 1, 0.25),
                 new LoadPlan.Kind("tasacion-firma", "59828", 1, 1_200, 2_200, 8, 0.25));
@@ -175,20 +180,20 @@
     }
 
     @Test
-    void idleConnectionsMakeWayForACallerWithAQuestion() throws Exception {
+    void newConnectionEvictsTheLongestIdleOne() throws Exception {
         List<Socket> idle = new ArrayList<>();
-        for (int i = 0; i < MOST_CONNECTIONS; i++) {
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
             idle.add(new Socket(
                     front.enumAddress().getAddress(), front.enumAddress().getPort()));
         }
-        // All of them are known to the front: the last one has asked and was answered.
-        assertEquals(Rcode.NOERROR, ask(idle.get(MOST_CONNECTIONS - 1), 1));
-        try (Socket one =
+        // The front has accepted all of them, since the last one gets an answer.
+        assertEquals(Rcode.NOERROR, ask(idle.get(MAX_CONNECTIONS - 1), 1));
+        try (Socket caller =
                 new Socket(front.enumAddress().getAddress(), front.enumAddress().getPort())) {
-            assertEquals(Rcode.NOERROR, ask(one, 2));
+            assertEquals(Rcode.NOERROR, ask(caller, 2));
             idle.get(0).setSoTimeout(10_000);
-            assertEquals(-1, idle.get(0).getInputStream().read(), "the longest idle one was closed");
-            assertEquals(Rcode.NOERROR, ask(idle.get(MOST_CONNECTIONS - 1), 3), "the one that asked lately was not");
+            assertEquals(-1, idle.get(0).getInputStream().read(), "the longest idle connection is closed");
+            assertEquals(Rcode.NOERROR, ask(idle.get(MAX_CONNECTIONS - 1), 3), "the one used last stays open");
         }
         for (Socket s : idle) {
             s.close();
@@ -196,10 +201,10 @@
     }
 
     private static int ask(Socket socket, int id) throws Exception {
-        byte[] octets = question(id, String.format("5982100%07d", id)).toWire();
+        byte[] question = question(id, String.format("5982100%07d", id)).toWire();
         DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-        out.writeShort(octets.length);
-        out.write(octets);
+        out.writeShort(question.length);
+        out.write(question);
         out.flush();
         socket.setSoTimeout(10_000);
         DataInputStream in = new DataInputStream(socket.getInputStream());
@@ -210,7 +215,7 @@
 
     /** RFC 6891 6.1.1: more than one OPT record is a format error. */
     @Test
-    void twoOptRecordsAreAFormatError() throws Exception {
+    void secondOptRecordIsAFormatError() throws Exception {
         Message query = question(9, "59821000000001");
         query.addRecord(new OPTRecord(1232, 0, 0), Section.ADDITIONAL);
         try (DatagramSocket socket = new DatagramSocket()) {
--- a/src/test/java/damsonseam/front/FrontServerTest.java
+++ b/src/test/java/damsonseam/front/FrontServerTest.java
@@ -39,10 +39,13 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 
-/** A real front on loopback sockets with its stand-ins. */
+/**
+ * A real front on loopback sockets with stand-ins for calculators, authorities and directory. Guards the path of a call
+ * through all sockets, and its behavior when a peer crashes, drains, stays silent or sends garbage.
+ */
 class FrontServerTest {
-    private static final Duration LONG = Duration.ofSeconds(20);
-    private Surroundings around;
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
+    private Surroundings surroundings;
     private FrontServer front;
     private int nextId = 1;
 
@@ -58,19 +61,19 @@
                 new Scenario.Directory(damsonseam.config.TimeSpan.ms(0), null),
                 null,
                 null);
-        around = new Surroundings(scenario, null);
-        front = FrontServer.start(around.frontSettings(0, new Endpoint("127.0.0.1", 0)), true);
+        surroundings = new Surroundings(scenario, null);
+        front = FrontServer.start(surroundings.frontSettings(0, new Endpoint("127.0.0.1", 0)), true);
         assertTrue(front.awaitReady(20_000));
     }
 
     @AfterEach
     void stop() {
         front.close();
-        around.close();
+        surroundings.close();
     }
 
-    private static String number(int first, int n) {
-        return String.format("59821%02d%07d", first, n);
+    private static String number(int firstChoice, int sequence) {
+        return String.format("59821%02d%07d", firstChoice, sequence);
     }
 
     private byte[] question(String number) {
@@ -97,8 +100,8 @@
         return DnsCodec.decode(Arrays.copyOf(packet.getData(), packet.getLength()));
     }
 
-    /** The server at which a call stood, or its rcode. */
-    private static String place(Message answer, String number) {
+    /** Returns the server at which the call is established, or the response code if the answer names none. */
+    private static String serverOrRcode(Message answer, String number) {
         List<NAPTRRecord> rules = answer.getSection(Section.ANSWER).stream()
                 .map(r -> (NAPTRRecord) r)
                 .toList();
@@ -107,19 +110,19 @@
                 : NaptrRules.servers(number, rules).get(0);
     }
 
-    private String call(int first, int n) throws Exception {
-        return place(ask(question(number(first, n))), number(first, n));
+    private String call(int firstChoice, int sequence) throws Exception {
+        return serverOrRcode(ask(question(number(firstChoice, sequence))), number(firstChoice, sequence));
     }
 
     @Test
-    void aCallStandsAtItsFirstChoice() throws Exception {
+    void callIsEstablishedAtItsFirstChoice() throws Exception {
         assertEquals("calc-01.example.org", call(1, 1));
         assertEquals("calc-02.example.org", call(2, 2));
         assertEquals("NXDOMAIN", call(77, 3));
     }
 
     @Test
-    void severalQuestionsOnOneTcpConnectionAreAnsweredEach() throws Exception {
+    void severalQuestionsOnOneTcpConnectionAreAllAnswered() throws Exception {
         try (Socket socket =
                 new Socket(front.enumAddress().getAddress(), front.enumAddress().getPort())) {
             socket.setSoTimeout(10_000);
@@ -129,7 +132,7 @@
                 byte[] question = question(number(i % 3, i));
                 asked.add(DnsCodec.id(question));
                 out.writeShort(question.length);
-                // Half a frame now, the rest in a later segment.
+                // Part of a frame in one segment, the rest in a later one.
                 out.write(question, 0, 5);
                 out.flush();
                 out.write(question, 5, question.length - 5);
@@ -146,8 +149,8 @@
     }
 
     @Test
-    void aClosedTcpConnectionTakesItsCallsAlong() throws Exception {
-        around.calculators().forEach(c -> c.freeze());
+    void closedTcpConnectionEndsItsOpenCalls() throws Exception {
+        surroundings.calculators().forEach(c -> c.freeze());
         try (Socket socket =
                 new Socket(front.enumAddress().getAddress(), front.enumAddress().getPort())) {
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
@@ -155,107 +158,107 @@
             out.writeShort(question.length);
             out.write(question);
             out.flush();
-            await().atMost(LONG).until(() -> front.openCalls() == 1);
+            await().atMost(TIMEOUT).until(() -> front.openCalls() == 1);
         }
-        await().atMost(LONG).until(() -> front.openCalls() == 0);
+        await().atMost(TIMEOUT).until(() -> front.openCalls() == 0);
     }
 
-    /** Random octets on every socket of the front: it goes on answering. */
+    /** Random bytes on every socket of the front: it continues to answer. */
     @Test
-    void randomOctetsOnEverySocketAreBorne() throws Exception {
+    void frontSurvivesRandomBytesOnEverySocket() throws Exception {
         Random random = new Random(4);
         try (DatagramSocket socket = new DatagramSocket()) {
             for (int i = 0; i < 500; i++) {
-                byte[] octets = new byte[random.nextInt(200)];
-                random.nextBytes(octets);
-                socket.send(new DatagramPacket(octets, octets.length, front.enumAddress()));
+                byte[] bytes = new byte[random.nextInt(200)];
+                random.nextBytes(bytes);
+                socket.send(new DatagramPacket(bytes, bytes.length, front.enumAddress()));
             }
         }
         for (int i = 0; i < 20; i++) {
             try (Socket socket = new Socket(
                     front.enumAddress().getAddress(), front.enumAddress().getPort())) {
-                byte[] octets = new byte[300];
-                random.nextBytes(octets);
-                socket.getOutputStream().write(octets);
+                byte[] bytes = new byte[300];
+                random.nextBytes(bytes);
+                socket.getOutputStream().write(bytes);
             }
         }
-        byte[] sound = M3ua.of(M3ua.Kind.NTFY).encode();
-        sound[3] = 9;
-        around.calculators().get(0).sendRaw(sound);
+        byte[] badVersion = M3ua.of(M3ua.Kind.NTFY).encode();
+        badVersion[3] = 9;
+        surroundings.calculators().get(0).sendRaw(badVersion);
         assertNotEquals("", call(0, 1));
         byte[] huge = {1, 0, 1, 1, (byte) 0xff, (byte) 0xff, (byte) 0xff, (byte) 0xff, 9, 9};
-        around.calculators().forEach(c -> c.sendRaw(huge));
+        surroundings.calculators().forEach(c -> c.sendRaw(huge));
         byte[] noise = new byte[4_000];
         random.nextBytes(noise);
-        around.calculators().get(1).sendRaw(noise);
-        around.authorities().forEach(a -> a.mood(DnsAuthority.Mood.GARBAGE));
+        surroundings.calculators().get(1).sendRaw(noise);
+        surroundings.authorities().forEach(a -> a.mood(DnsAuthority.Mood.GARBAGE));
         assertEquals("SERVFAIL", call(0, 9));
-        around.authorities().forEach(a -> a.mood(DnsAuthority.Mood.WELL));
-        // The links whose frames could not be told apart any more were closed and are made again.
-        await().atMost(LONG).until(() -> call(0, 10 + nextId).startsWith("calc-"));
+        surroundings.authorities().forEach(a -> a.mood(DnsAuthority.Mood.WELL));
+        // Links that have lost their framing were closed and are re-established.
+        await().atMost(TIMEOUT).until(() -> call(0, 10 + nextId).startsWith("calc-"));
     }
 
     @Test
-    void drainNewsOfTheDirectoryIsFollowed() throws Exception {
+    void drainingServerGetsNoMoreCalls() throws Exception {
         assertEquals("calc-00.example.org", call(0, 1));
-        around.directory().set(around.listed(0), State.DRAINING, false);
-        await().atMost(LONG).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
+        surroundings.directory().set(surroundings.listed(0), State.DRAINING, false);
+        await().atMost(TIMEOUT).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
         for (int i = 0; i < 5; i++) {
             assertNotEquals("calc-00.example.org", call(0, 100 + i));
         }
     }
 
     @Test
-    void aDestinationToldUnavailableIsLeftUntilItIsToldAvailable() throws Exception {
+    void unavailableDestinationGetsNoCallsUntilItIsAvailable() throws Exception {
         assertEquals("calc-00.example.org", call(0, 1));
-        around.calculators().get(0).tell(M3ua.Kind.DUNA, 0);
-        await().atMost(LONG).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
-        around.calculators().get(0).tell(M3ua.Kind.SCON, 2);
-        around.calculators().get(0).tell(M3ua.Kind.DAVA, 0);
-        await().atMost(LONG).until(() -> call(0, 50 + nextId).equals("calc-00.example.org"));
+        surroundings.calculators().get(0).tell(M3ua.Kind.DUNA, 0);
+        await().atMost(TIMEOUT).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
+        surroundings.calculators().get(0).tell(M3ua.Kind.SCON, 2);
+        surroundings.calculators().get(0).tell(M3ua.Kind.DAVA, 0);
+        await().atMost(TIMEOUT).until(() -> call(0, 50 + nextId).equals("calc-00.example.org"));
     }
 
     @Test
-    void aDeadDirectoryLeavesTheListAndALaterOneIsFollowedAgain() throws Exception {
-        around.directory().crash();
+    void serverListSurvivesDirectoryCrashAndFollowsTheRestartedOne() throws Exception {
+        surroundings.directory().crash();
         assertEquals("calc-00.example.org", call(0, 1));
-        around.directory().start(null);
-        around.directory().setNow(around.listed(0), State.GONE);
-        await().atMost(LONG).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
+        surroundings.directory().start(null);
+        surroundings.directory().setNow(surroundings.listed(0), State.GONE);
+        await().atMost(TIMEOUT).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
     }
 
     @Test
-    void aCrashedCalculatorIsLeftAndFoundAgain() throws Exception {
+    void crashedCalculatorIsAvoidedAndUsedAgainAfterItsRestart() throws Exception {
         assertEquals("calc-00.example.org", call(0, 1));
-        around.calculators().get(0).crash();
-        List<String> places = new ArrayList<>();
+        surroundings.calculators().get(0).crash();
+        List<String> results = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            places.add(call(0, 10 + i));
+            results.add(call(0, 10 + i));
         }
-        assertTrue(places.stream().noneMatch("calc-00.example.org"::equals), places.toString());
-        assertTrue(places.stream().filter(p -> p.startsWith("calc-")).count() >= 4, places.toString());
-        around.calculators().get(0).start(null, true);
-        await().atMost(LONG).until(() -> call(0, 50 + nextId).equals("calc-00.example.org"));
+        assertTrue(results.stream().noneMatch("calc-00.example.org"::equals), results.toString());
+        assertTrue(results.stream().filter(p -> p.startsWith("calc-")).count() >= 4, results.toString());
+        surroundings.calculators().get(0).start(null, true);
+        await().atMost(TIMEOUT).until(() -> call(0, 50 + nextId).equals("calc-00.example.org"));
     }
 
     @Test
-    void authoritiesThatFailInTurnDoNotCostTheCall() throws Exception {
-        around.authorities().get(0).mood(DnsAuthority.Mood.LAME);
-        around.authorities().get(1).mood(DnsAuthority.Mood.TRUNCATING);
+    void callIsEstablishedWhileAuthoritiesFailInTurn() throws Exception {
+        surroundings.authorities().get(0).mood(DnsAuthority.Mood.LAME);
+        surroundings.authorities().get(1).mood(DnsAuthority.Mood.TRUNCATING);
         assertEquals("calc-01.example.org", call(1, 21));
-        around.authorities().get(0).mood(DnsAuthority.Mood.SILENT);
-        around.authorities().get(1).mood(DnsAuthority.Mood.FORGED);
+        surroundings.authorities().get(0).mood(DnsAuthority.Mood.SILENT);
+        surroundings.authorities().get(1).mood(DnsAuthority.Mood.FORGED);
         assertEquals("calc-01.example.org", call(1, 22));
     }
 
     @Test
-    void drainingAnswersWhatIsOpenAndThenEnds() throws Exception {
-        around.calculators().forEach(c -> c.slow(10));
+    void drainAnswersOpenCallsBeforeItReturns() throws Exception {
+        surroundings.calculators().forEach(c -> c.slow(10));
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.setSoTimeout(10_000);
             byte[] question = question(number(0, 1));
             socket.send(new DatagramPacket(question, question.length, front.enumAddress()));
-            await().atMost(LONG).until(() -> front.openCalls() == 1);
+            await().atMost(TIMEOUT).until(() -> front.openCalls() == 1);
             front.drain();
             assertEquals(DnsCodec.id(question), receive(socket).getHeader().getID());
         }
