--- a/src/main/java/damsonseam/cli/AdapterCommand.java
+++ b/src/main/java/damsonseam/cli/AdapterCommand.java
@@ -2,11 +2,11 @@
 
 import picocli.CommandLine.Command;
 
-/** Stands in the help; {@link Main} runs the adapter before this is ever loaded. */
+/** Lists the adapter in the help. {@link Main} runs the adapter directly, without loading this class. */
 @Command(
         name = "adapter",
         mixinStandardHelpOptions = true,
-        description = "Speaks the simulator's wire on standard input and output.")
+        description = "Speaks the simulator's protocol on standard input and output.")
 final class AdapterCommand implements Runnable {
     @Override
     public void run() {
--- a/src/main/java/damsonseam/cli/AuditCommand.java
+++ b/src/main/java/damsonseam/cli/AuditCommand.java
@@ -9,13 +9,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Checks the five rules in the folder of a run. */
+/** Checks the five rules against the wire logs in a run's folder. */
 @Command(
         name = "audit",
         mixinStandardHelpOptions = true,
-        description = {"Checks the five rules from the wire logs that a run left. Exit 1 where one was broken."})
+        description = {"Checks the five rules against the wire logs of a run. Exits with 1 if a rule was broken."})
 final class AuditCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "DIR", description = "The folder of a run.")
+    @Parameters(paramLabel = "DIR", description = "Folder of the run.")
     private Path folder;
 
     @Override
--- a/src/main/java/damsonseam/cli/BadDayCommand.java
+++ b/src/main/java/damsonseam/cli/BadDayCommand.java
@@ -20,46 +20,44 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Plays a scripted bad day through real fronts and audits the wire. */
+/** Runs a fault scenario against real fronts and audits their traffic. */
 @Command(
         name = "bad-day",
         mixinStandardHelpOptions = true,
         description = {
-            "Plays a scripted day through real fronts on loopback, with troubles, and checks the five rules from what",
-            "passed the sockets. Leaves report.json, world.json and wire/*.jsonl. Exit 1 where a rule was broken."
+            "Runs real fronts on loopback through a scenario with scripted faults.",
+            "Checks the five rules against the recorded traffic. Writes report.json, world.json and wire/*.jsonl. "
+                    + "Exits with 1 if a rule was broken."
         })
 final class BadDayCommand implements Callable<Integer> {
-    @Option(
-            names = "--scenario",
-            paramLabel = "FILE",
-            description = "The day; by default the one that comes " + "with the program.")
-    private Path file;
+    @Option(names = "--scenario", paramLabel = "FILE", description = "Scenario; by default the built-in one.")
+    private Path scenarioFile;
 
-    @Option(names = "--fronts", paramLabel = "N", description = "Fronts, in place of the scenario's.")
+    @Option(names = "--fronts", paramLabel = "N", description = "Number of fronts, overrides the scenario.")
     private Integer fronts;
 
-    @Option(names = "--seconds", paramLabel = "N", description = "Length, in place of the scenario's.")
+    @Option(names = "--seconds", paramLabel = "N", description = "Length, overrides the scenario.")
     private Double seconds;
 
-    @Option(names = "--seed", paramLabel = "N", description = "Seed, in place of the scenario's.")
+    @Option(names = "--seed", paramLabel = "N", description = "Seed, overrides the scenario.")
     private Long seed;
 
     @Option(
             names = "--decider",
             defaultValue = "MODULE",
-            description = "MODULE, or RANDOM as a baseline " + "(default: ${DEFAULT-VALUE}).")
+            description = "MODULE, or RANDOM as a baseline (default: ${DEFAULT-VALUE}).")
     private Day.Decider decider;
 
     @Option(
             names = "--runs",
             defaultValue = "1",
             paramLabel = "N",
-            description = "Days to play: the first as given, "
-                    + "the others with other seeds, sizes and troubles, drawn from the hardest so far. "
-                    + "Stops at the first broken rule and tells its call's story (default: ${DEFAULT-VALUE}).")
+            description = "Number of runs: the first as given, the others with seeds, sizes and faults derived from "
+                    + "the hardest runs so far. Stops at the first broken rule and prints the trace of its call "
+                    + "(default: ${DEFAULT-VALUE}).")
     private int runs;
 
-    @Option(names = "--out", required = true, paramLabel = "DIR", description = "Where the run is left.")
+    @Option(names = "--out", required = true, paramLabel = "DIR", description = "Folder for the results.")
     private Path out;
 
     @Override
@@ -67,39 +65,40 @@
         OptionChecks.checkRange("--fronts", fronts, 1, 500);
         OptionChecks.checkRange("--seconds", seconds, 1, 86_400);
         OptionChecks.checkRange("--runs", runs, 1, 100_000);
-        Scenario given = file == null ? standard() : Yaml.read(file, Scenario.class);
+        Scenario baseScenario = scenarioFile == null ? loadStandardScenario() : Yaml.read(scenarioFile, Scenario.class);
         Scenario scenario = new Scenario(
-                given.name(),
-                seconds == null ? given.length() : TimeSpan.ms(seconds * 1_000),
-                seed == null ? given.seed() : seed,
-                fronts == null ? given.fronts() : fronts,
-                given.calculators(),
-                given.load(),
-                given.directory(),
-                given.cycle(),
-                given.troubles());
+                baseScenario.name(),
+                seconds == null ? baseScenario.length() : TimeSpan.ms(seconds * 1_000),
+                seed == null ? baseScenario.seed() : seed,
+                fronts == null ? baseScenario.fronts() : fronts,
+                baseScenario.calculators(),
+                baseScenario.load(),
+                baseScenario.directory(),
+                baseScenario.cycle(),
+                baseScenario.troubles());
         if (runs == 1) {
             return play(scenario, out).audit().violations() == 0 ? RootCommand.EXIT_OK : RootCommand.EXIT_FAILED;
         }
         DaySearch search = new DaySearch(scenario);
         for (int i = 0; i < runs; i++) {
-            Scenario day = search.next();
-            Path folder = out.resolve("day-" + i);
-            Day.Result result = play(day, folder);
-            search.played(day, result.audit());
+            Scenario nextScenario = search.next();
+            Path runFolder = out.resolve("day-" + i);
+            Day.Result result = play(nextScenario, runFolder);
+            search.played(nextScenario, result.audit());
             if (result.audit().violations() > 0) {
-                Map<String, Object> found = new LinkedHashMap<>();
-                found.put("broken", result.audit().findings().get(0));
-                found.put("day", day);
-                found.put(
-                        "story", CallStory.of(folder, result.audit().findings().get(0)));
+                Map<String, Object> finding = new LinkedHashMap<>();
+                finding.put("broken", result.audit().findings().get(0));
+                finding.put("day", nextScenario);
+                finding.put(
+                        "story",
+                        CallStory.of(runFolder, result.audit().findings().get(0)));
                 System.out.println(new ObjectMapper()
                         .enable(SerializationFeature.INDENT_OUTPUT)
-                        .writeValueAsString(found));
+                        .writeValueAsString(finding));
                 return RootCommand.EXIT_FAILED;
             }
-            // A day that broke nothing is told by its report; its wire is some hundred megabytes.
-            deleteWire(folder);
+            // A run that broke no rule is covered by its report; its wire logs are some hundred megabytes.
+            deleteWire(runFolder);
         }
         System.out.println("{\"days\":" + runs + ",\"violations\":0,\"leastLeftMs\":" + search.leastLeft() + "}");
         return RootCommand.EXIT_OK;
@@ -152,10 +151,10 @@
         return report;
     }
 
-    private static Scenario standard() throws Exception {
+    private static Scenario loadStandardScenario() throws Exception {
         try (InputStream in = BadDayCommand.class.getResourceAsStream("/bad-day.yaml")) {
             if (in == null) {
-                throw new IOException("the standard day is not in the program");
+                throw new IOException("the built-in scenario is missing from the program");
             }
             return Yaml.parse("bad-day.yaml", new String(in.readAllBytes(), StandardCharsets.UTF_8), Scenario.class);
         }
--- a/src/main/java/damsonseam/cli/BenchCommand.java
+++ b/src/main/java/damsonseam/cli/BenchCommand.java
@@ -13,16 +13,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The measurements that are kept. */
+/** The repeatable measurements. */
 @Command(
         name = "bench",
         mixinStandardHelpOptions = true,
-        description = "Measurements; each prints one JSON line.",
+        description = "Runs a measurement; each prints one JSON line.",
         subcommands = {
             BenchCommand.PathCommand.class,
-            BenchCommand.Memory.class,
-            BenchCommand.Drain.class,
-            BenchCommand.Overload.class
+            BenchCommand.MemoryCommand.class,
+            BenchCommand.DrainCommand.class,
+            BenchCommand.OverloadCommand.class
         })
 final class BenchCommand implements Runnable {
     @picocli.CommandLine.Spec
@@ -30,18 +30,19 @@
 
     @Override
     public void run() {
-        throw new picocli.CommandLine.ParameterException(spec.commandLine(), "a measurement is missing");
+        throw new picocli.CommandLine.ParameterException(spec.commandLine(), "the name of a measurement is missing");
     }
 
-    /** The whole path against a bare responder. */
+    /** Compares the whole call path with a bare responder. */
     @Command(
             name = "path",
             mixinStandardHelpOptions = true,
             description = {
-                "Calls a second of one front on the whole path against a bare responder, and delays at half that rate."
+                "Calls per second of one front on the whole call path compared with a bare responder, "
+                        + "and the delays at half that rate."
             })
     static final class PathCommand implements Callable<Integer> {
-        @Option(names = "--seconds", defaultValue = "4", paramLabel = "N", description = "Each of its rounds.")
+        @Option(names = "--seconds", defaultValue = "4", paramLabel = "N", description = "Length of each round.")
         private double seconds;
 
         @Override
@@ -52,9 +53,9 @@
         }
     }
 
-    /** Heap of open calls. */
-    @Command(name = "memory", mixinStandardHelpOptions = true, description = "Heap of each open call.")
-    static final class Memory implements Callable<Integer> {
+    /** Measures the heap used by open calls. */
+    @Command(name = "memory", mixinStandardHelpOptions = true, description = "Heap per open call.")
+    static final class MemoryCommand implements Callable<Integer> {
         @Option(names = "--calls", defaultValue = "100000", paramLabel = "N")
         private int calls;
 
@@ -66,66 +67,75 @@
         }
     }
 
-    /** One front past its limit. */
+    /** Measures one front under overload. */
     @Command(
             name = "overload",
             mixinStandardHelpOptions = true,
             description = {
-                "One front, a process of its own, at 1, 1.5, 3 and 10 times the rate it saturates at "
-                        + "and through a tenfold",
-                "burst; with the project's gate, without, with a plain queue limit, and shedding at random."
+                "One front under overload, with and without admission control.",
+                "The front runs in a separate process, at 1, 1.5, 3 and 10 times its saturation rate and in a tenfold "
+                        + "burst; with the project's admission control, without any, with a plain queue limit and with "
+                        + "random shedding."
             })
-    static final class Overload implements Callable<Integer> {
-        @Option(names = "--seconds", defaultValue = "6", paramLabel = "N", description = "Of each rate.")
+    static final class OverloadCommand implements Callable<Integer> {
+        @Option(
+                names = "--seconds",
+                defaultValue = "6",
+                paramLabel = "N",
+                description = "Length of the run at each rate.")
         private double seconds;
 
         @Option(
                 names = "--most",
                 defaultValue = "10",
                 paramLabel = "N",
-                description = "Times the saturating rate " + "that is tried at most.")
-        private double most;
+                description = "Highest multiple of the saturation rate.")
+        private double maxFactor;
 
         @Option(
                 names = "--admission",
                 split = ",",
                 defaultValue = "LEVELS,NONE,QUEUE,RANDOM",
-                description = "What "
-                        + "admits calls, one after another: ${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE}).")
+                description = "Kinds of admission control to run in turn: "
+                        + "${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE}).")
         private List<Baseline> admission;
 
         @Option(
                 names = "--java",
                 defaultValue = "-Xmx2g -XX:+UseZGC",
                 paramLabel = "OPTIONS",
-                description = "Options of the " + "front's Java machine (default: ${DEFAULT-VALUE}).")
-        private String options;
+                description = "JVM options of the front (default: ${DEFAULT-VALUE}).")
+        private String javaOptions;
 
-        @Option(names = "--out", paramLabel = "DIR", description = "Where pictures of the bursts are left.")
+        @Option(names = "--out", paramLabel = "DIR", description = "Folder for the plots of the bursts.")
         private Path out;
 
         @Override
         public Integer call() throws Exception {
             OptionChecks.checkRange("--seconds", seconds, 2, 3_600);
-            OptionChecks.checkRange("--most", most, 1, 100);
+            OptionChecks.checkRange("--most", maxFactor, 1, 100);
             if (out != null) {
                 Files.createDirectories(out);
             }
             System.out.println(new ObjectMapper()
                     .writeValueAsString(OverloadBench.run(
-                            seconds, most, admission, List.of(options.trim().split(" +")), out)));
+                            seconds,
+                            maxFactor,
+                            admission,
+                            List.of(javaOptions.trim().split(" +")),
+                            out)));
             return RootCommand.EXIT_OK;
         }
     }
 
-    /** Time from drain news to the last set-up. */
+    /** Measures the time from a drain update to the last set-up. */
     @Command(
             name = "drain",
             mixinStandardHelpOptions = true,
             description = {
-                "Time from drain news, as the directory sends it, to the last set-up that reaches the calculator."
+                "Time from a drain update sent by the directory to the last set-up that reaches the calculator."
             })
-    static final class Drain implements Callable<Integer> {
+    static final class DrainCommand implements Callable<Integer> {
         @Option(names = "--drains", defaultValue = "20", paramLabel = "N")
         private int drains;
 
--- a/src/main/java/damsonseam/cli/DemoCommand.java
+++ b/src/main/java/damsonseam/cli/DemoCommand.java
@@ -11,36 +11,28 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** A front and its stand-ins on loopback, for a first look. */
+/** Runs a front and its stand-ins on loopback, as a demonstration. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
         description = {
-            "Runs a front and stand-in calculators, authorities and directory on loopback.",
-            "Prints one JSON line when ready: where to ask (enum), the suffix, and a number that resolves."
+            "Runs a front with stand-ins for calculators, authorities and directory on loopback.",
+            "Prints one JSON line when ready: the DNS address (enum), the suffix and a number that resolves."
         })
 final class DemoCommand implements Callable<Integer> {
-    private static final long READY_MS = 10_000;
+    private static final long READY_TIMEOUT_MS = 10_000;
 
-    @Option(
-            names = "--port",
-            defaultValue = "0",
-            paramLabel = "P",
-            description = "DNS port, 0: the system " + "chooses.")
+    @Option(names = "--port", defaultValue = "0", paramLabel = "P", description = "DNS port; 0: chosen by the system.")
     private int port;
 
-    @Option(
-            names = "--seconds",
-            defaultValue = "0",
-            paramLabel = "N",
-            description = "End after so long; 0: " + "run until a signal.")
+    @Option(names = "--seconds", defaultValue = "0", paramLabel = "N", description = "Run time; 0: until a signal.")
     private double seconds;
 
     @Option(
             names = "--calculators",
             defaultValue = "3",
             paramLabel = "N",
-            description = "Stand-in " + "calculators (default: ${DEFAULT-VALUE}).")
+            description = "Number of stand-in calculators (default: ${DEFAULT-VALUE}).")
     private int calculators;
 
     @Override
@@ -50,22 +42,26 @@
         OptionChecks.checkRange("--calculators", calculators, 1, 99);
         Scenario scenario = new Scenario(
                 "demo", null, null, 1, new Scenario.Calculators(calculators, null), null, null, null, null);
-        try (Surroundings around = new Surroundings(scenario, null);
-                FrontServer front = FrontServer.start(around.frontSettings(0, new Endpoint("127.0.0.1", port)), true)) {
-            if (!front.awaitReady(READY_MS)) {
-                System.err.println("damsonseam: the front was not ready within " + READY_MS + " ms");
+        try (Surroundings surroundings = new Surroundings(scenario, null);
+                FrontServer front =
+                        FrontServer.start(surroundings.frontSettings(0, new Endpoint("127.0.0.1", port)), true)) {
+            if (!front.awaitReady(READY_TIMEOUT_MS)) {
+                System.err.println("damsonseam: the front was not ready within " + READY_TIMEOUT_MS + " ms");
                 return RootCommand.EXIT_FAILED;
             }
             Map<String, Object> ready = new LinkedHashMap<>();
             ready.put("enum", "127.0.0.1:" + front.enumAddress().getPort());
             ready.put("suffix", Surroundings.SUFFIX);
-            ready.put("number", around.exampleNumber());
+            ready.put("number", surroundings.exampleNumber());
             ready.put(
                     "authorities",
-                    around.authorityAddresses().stream().map(Endpoint::toString).toList());
-            ready.put("directory", around.directoryAddress().toString());
+                    surroundings.authorityAddresses().stream()
+                            .map(Endpoint::toString)
+                            .toList());
+            ready.put("directory", surroundings.directoryAddress().toString());
             Map<String, String> signalling = new LinkedHashMap<>();
-            around.calculators()
+            surroundings
+                    .calculators()
                     .forEach(c ->
                             signalling.put(c.id(), "127.0.0.1:" + c.address().getPort()));
             ready.put("calculators", signalling);
@@ -73,7 +69,7 @@
             System.out.flush();
             ShutdownSignal.awaitThenStop(seconds, () -> {
                 front.drain();
-                around.close();
+                surroundings.close();
             });
         }
         return RootCommand.EXIT_OK;
--- a/src/main/java/damsonseam/cli/FrontCommand.java
+++ b/src/main/java/damsonseam/cli/FrontCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs one front until a signal ends it; then it takes no new calls and ends the open ones. */
+/** Runs one front until a signal, then drains it: no new calls are taken, open ones are answered. */
 @Command(
         name = "front",
         mixinStandardHelpOptions = true,
@@ -24,24 +24,20 @@
             names = "--config",
             required = true,
             paramLabel = "FILE",
-            description = "Settings, see " + "config/front.example.yaml.")
+            description = "Settings file, see config/front.example.yaml.")
     private Path config;
 
-    @Option(names = "--check", description = "Only check the settings.")
-    private boolean check;
+    @Option(names = "--check", description = "Check the settings and exit.")
+    private boolean checkOnly;
 
-    @Option(
-            names = "--seconds",
-            defaultValue = "0",
-            paramLabel = "N",
-            description = "End after so long; 0: " + "run until a signal.")
+    @Option(names = "--seconds", defaultValue = "0", paramLabel = "N", description = "Run time; 0: until a signal.")
     private double seconds;
 
     @Override
     public Integer call() throws Exception {
         OptionChecks.checkRange("--seconds", seconds, 0, 1e9);
         FrontSettings settings = Yaml.read(config, FrontSettings.class);
-        if (check) {
+        if (checkOnly) {
             System.out.println(config + ": fine");
             return RootCommand.EXIT_OK;
         }
--- a/src/main/java/damsonseam/cli/LoadCommand.java
+++ b/src/main/java/damsonseam/cli/LoadCommand.java
@@ -22,18 +22,18 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Puts a load on running fronts and tells what became of it. */
+/** Generates load on running fronts and reports the results. */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
         description = {
-            "Puts a load on running fronts: open arrivals that wait for nobody, each asked once. "
-                    + "Delays are counted from",
-            "when a question was due. Prints one JSON line; with --out also histograms and a picture.",
+            "Generates load on running fronts.",
+            "Arrivals are open-loop, each query is sent once. Delays are measured from the time at which a query was "
+                    + "due. Prints one JSON line; with --out also writes histograms and a plot.",
             "Fronts on this machine only: HOST must be a loopback address."
         })
 final class LoadCommand implements Callable<Integer> {
-    /** Shapes of a load. */
+    /** Shape of the arrival rate over time. */
     enum Shape {
         STEADY,
         BURST,
@@ -45,50 +45,48 @@
             required = true,
             split = ",",
             paramLabel = "HOST:PORT",
-            description = "Fronts, asked in " + "turn.")
-    private List<String> to;
+            description = "Fronts, queried round-robin.")
+    private List<String> frontAddresses;
 
     @Option(
             names = "--config",
             paramLabel = "FILE",
-            description =
-                    "A front's settings: classes, numbers and suffix " + "are taken from it. By default those of demo.")
+            description = "A front's settings file for classes, numbers and suffix; by default those of demo.")
     private Path config;
 
     @Option(
             names = "--shares",
             split = ",",
             paramLabel = "N",
-            description =
-                    "Share of each prefix of the settings, in " + "their order; by default all alike, for demo 94,6.")
+            description = "Share of each prefix of the settings, in their order; by default equal, for demo 94,6.")
     private List<Double> shares;
 
     @Option(
             names = "--rate",
             defaultValue = "100",
             paramLabel = "N",
-            description = "Calls a second " + "(default: ${DEFAULT-VALUE}).")
+            description = "Calls per second (default: ${DEFAULT-VALUE}).")
     private double rate;
 
     @Option(
             names = "--shape",
             defaultValue = "STEADY",
-            description = "STEADY; BURST: --factor times as much in the "
-                    + "middle third; PUBLICATION: a publication day of that peak (default: ${DEFAULT-VALUE}).")
+            description = "STEADY; BURST: --factor times the rate in the "
+                    + "middle third; PUBLICATION: a publication day with that peak (default: ${DEFAULT-VALUE}).")
     private Shape shape;
 
     @Option(
             names = "--factor",
             defaultValue = "10",
             paramLabel = "N",
-            description = "Height of the burst or peak " + "(default: ${DEFAULT-VALUE}).")
+            description = "Height of the burst or peak (default: ${DEFAULT-VALUE}).")
     private double factor;
 
     @Option(
             names = "--seconds",
             defaultValue = "10",
             paramLabel = "N",
-            description = "Length (default: " + "${DEFAULT-VALUE}).")
+            description = "Length (default: ${DEFAULT-VALUE}).")
     private double seconds;
 
     @Option(names = "--seed", defaultValue = "1", paramLabel = "N")
@@ -98,37 +96,37 @@
             names = "--threads",
             defaultValue = "2",
             paramLabel = "N",
-            description = "Threads that send (default: " + "${DEFAULT-VALUE}).")
+            description = "Sending threads (default: ${DEFAULT-VALUE}).")
     private int threads;
 
     @Option(
             names = "--senders",
             defaultValue = "1",
             paramLabel = "N",
-            description = "Addresses of 127.0.0.0/8 that " + "questions come from (default: ${DEFAULT-VALUE}).")
+            description = "Number of source addresses from 127.0.0.0/8 (default: ${DEFAULT-VALUE}).")
     private int senders;
 
     @Option(
             names = "--known",
             defaultValue = "5000",
             paramLabel = "N",
-            description = "Numbers of each class called " + "again and again (default: ${DEFAULT-VALUE}).")
-    private int known;
+            description = "Numbers of each class that are called repeatedly (default: ${DEFAULT-VALUE}).")
+    private int knownNumbers;
 
     @Option(
             names = "--first",
             defaultValue = "1",
             paramLabel = "N",
-            description = "First-choice calculators that the " + "numbers name (default: ${DEFAULT-VALUE}).")
-    private int first;
+            description = "Number of first-choice calculators among the numbers (default: ${DEFAULT-VALUE}).")
+    private int firstChoices;
 
     @Option(
             names = "--find",
-            description = "Finds the rate at which the fronts are saturated, starting at --rate; "
+            description = "Find the saturation rate of the fronts, starting at --rate; "
                     + "--seconds is the length of each try.")
-    private boolean find;
+    private boolean findSaturation;
 
-    @Option(names = "--out", paramLabel = "DIR", description = "Where histograms (*.hgrm) and load.png are left.")
+    @Option(names = "--out", paramLabel = "DIR", description = "Folder for histograms (*.hgrm) and load.png.")
     private Path out;
 
     @Override
@@ -138,11 +136,11 @@
         OptionChecks.checkRange("--seconds", seconds, 0.1, 86_400);
         OptionChecks.checkRange("--threads", threads, 1, 16);
         OptionChecks.checkRange("--senders", senders, 1, 200);
-        OptionChecks.checkRange("--known", known, 1, 10_000_000);
-        OptionChecks.checkRange("--first", first, 1, 100);
+        OptionChecks.checkRange("--known", knownNumbers, 1, 10_000_000);
+        OptionChecks.checkRange("--first", firstChoices, 1, 100);
         LoadPlan plan = plan();
         Map<String, Object> report = new LinkedHashMap<>();
-        if (find) {
+        if (findSaturation) {
             report.put("saturationPerS", Math.round(Load.saturation(plan, rate, seconds)));
         } else {
             LoadResult result = Load.run(plan);
@@ -152,7 +150,7 @@
             }
             report.put("sentLate", result.sentLateCount());
             if (out != null) {
-                leave(result);
+                writeResults(result);
             }
         }
         System.out.println(new ObjectMapper().writeValueAsString(report));
@@ -161,12 +159,12 @@
 
     private LoadPlan plan() throws Exception {
         List<InetSocketAddress> fronts = new ArrayList<>();
-        for (String text : to) {
-            InetSocketAddress at = OptionChecks.parseEndpoint("--to", text).toSocketAddress();
-            if (at.isUnresolved() || !at.getAddress().isLoopbackAddress()) {
+        for (String text : frontAddresses) {
+            InetSocketAddress address = OptionChecks.parseEndpoint("--to", text).toSocketAddress();
+            if (address.isUnresolved() || !address.getAddress().isLoopbackAddress()) {
                 throw new damsonseam.config.SettingsException("--to: expected a loopback address, found " + text);
             }
-            fronts.add(at);
+            fronts.add(address);
         }
         Profile profile =
                 switch (shape) {
@@ -183,40 +181,41 @@
             suffix = settings.enumSettings().suffix();
             kinds = kinds(settings);
         } else if (shares != null) {
-            throw new damsonseam.config.SettingsException("--shares: expected with --config only");
+            throw new damsonseam.config.SettingsException("--shares: only allowed with --config");
         }
-        return new LoadPlan(fronts, suffix, kinds, profile, seconds, seed, threads, senders, known, first);
+        return new LoadPlan(
+                fronts, suffix, kinds, profile, seconds, seed, threads, senders, knownNumbers, firstChoices);
     }
 
     private List<LoadPlan.Kind> kinds(FrontSettings settings) throws Exception {
         if (shares != null && shares.size() != settings.numbers().size()) {
-            throw new damsonseam.config.SettingsException("--shares: expected "
-                    + settings.numbers().size() + " of them, as many as the settings have prefixes");
+            throw new damsonseam.config.SettingsException(
+                    "--shares: expected " + settings.numbers().size() + " values, one per prefix of the settings");
         }
         List<LoadPlan.Kind> kinds = new ArrayList<>();
         for (FrontSettings.NumberRange range : settings.numbers()) {
-            FrontSettings.CallClassSettings of = settings.classes().stream()
+            FrontSettings.CallClassSettings callClass = settings.classes().stream()
                     .filter(c -> c.name().equals(range.callClass()))
                     .findFirst()
                     .orElseThrow();
             kinds.add(new LoadPlan.Kind(
-                    of.name(),
+                    callClass.name(),
                     range.prefix(),
                     shares == null ? 1 : shares.get(kinds.size()),
-                    of.aim().ms(),
+                    callClass.aim().ms(),
                     range.patience().ms(),
-                    of.worth(),
-                    of.lateShare()));
+                    callClass.worth(),
+                    callClass.lateShare()));
         }
         return kinds;
     }
 
-    private void leave(LoadResult result) throws IOException {
+    private void writeResults(LoadResult result) throws IOException {
         Files.createDirectories(out);
         for (int k = 0; k < result.kinds().size(); k++) {
             Path file = out.resolve("stood-" + result.kinds().get(k).name() + ".hgrm");
-            try (PrintStream to = new PrintStream(Files.newOutputStream(file), false, StandardCharsets.US_ASCII)) {
-                result.stoodDelays(k).outputPercentileDistribution(to, 1_000.0);
+            try (PrintStream stream = new PrintStream(Files.newOutputStream(file), false, StandardCharsets.US_ASCII)) {
+                result.stoodDelays(k).outputPercentileDistribution(stream, 1_000.0);
             }
         }
         LoadPlot.write(result, "load", out.resolve("load.png"));
--- a/src/main/java/damsonseam/cli/Logging.java
+++ b/src/main/java/damsonseam/cli/Logging.java
@@ -13,17 +13,17 @@
 import org.slf4j.bridge.SLF4JBridgeHandler;
 
 /**
- * The structured log: JSON lines to a file or to standard error, written by a thread of its own. Where it falls
- * behind, lines are dropped and never the loop's time: the wire, not the log, proves what happened.
+ * Configures the structured log: JSON lines to a file or to standard error, written by a thread of its own. If that
+ * thread falls behind, lines are dropped and the event loop is never blocked: the evidence of a run is its wire logs.
  */
 final class Logging {
-    private static final int QUEUE = 1 << 16;
-    private static final int FLUSH_MS = 2_000;
+    private static final int QUEUE_CAPACITY = 1 << 16;
+    private static final int MAX_FLUSH_TIME_MS = 2_000;
 
     private Logging() {}
 
     static void configure(String file, Level level) {
-        // gRPC speaks through java.util.logging: it goes the same way as all else.
+        // gRPC logs through java.util.logging; route it to the same appender.
         SLF4JBridgeHandler.removeHandlersForRootLogger();
         SLF4JBridgeHandler.install();
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
@@ -49,16 +49,16 @@
         out.start();
         AsyncAppender async = new AsyncAppender();
         async.setContext(context);
-        async.setQueueSize(QUEUE);
+        async.setQueueSize(QUEUE_CAPACITY);
         async.setDiscardingThreshold(0);
         async.setNeverBlock(true);
-        async.setMaxFlushTime(FLUSH_MS);
+        async.setMaxFlushTime(MAX_FLUSH_TIME_MS);
         async.addAppender(out);
         async.start();
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         root.setLevel(level);
         root.addAppender(async);
-        // Libraries speak at WARN and above whatever our own level is.
+        // Libraries log at WARN and above, whatever the program's own level.
         for (String library : new String[] {"io.netty", "io.grpc", "org.xbill"}) {
             context.getLogger(library).setLevel(level.isGreaterOrEqual(Level.WARN) ? level : Level.WARN);
         }
--- a/src/main/java/damsonseam/cli/LookupCommand.java
+++ b/src/main/java/damsonseam/cli/LookupCommand.java
@@ -41,17 +41,17 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.TypeConversionException;
 
-/** Asks a front, or an authority, for a number as a branch desk would. */
+/** Queries a front or an authority for a number, as a caller does. */
 @Command(
         name = "lookup",
         mixinStandardHelpOptions = true,
         description = {
-            "Asks an ENUM server for a number and prints the answer as one JSON line.",
-            "At a front that question is a call: what it sets up stands until it is released.",
-            "Exit 0 where the answer leads somewhere, else 1."
+            "Queries an ENUM server for a number and prints the answer as one JSON line.",
+            "At a front the query is a call: the call it sets up stays established until it is released.",
+            "Exits with 0 if the answer names a server, otherwise with 1."
         })
 final class LookupCommand implements Callable<Integer> {
-    private static final int DATAGRAM = 4096;
+    private static final int MAX_DATAGRAM_BYTES = 4096;
 
     @Parameters(paramLabel = "NUMBER", description = "Digits, with or without a leading +.")
     private String number;
@@ -61,27 +61,27 @@
             required = true,
             paramLabel = "HOST:PORT",
             converter = EndpointConverter.class,
-            description = "Whom to ask.")
+            description = "Front or authority to query.")
     private Endpoint server;
 
     @Option(
             names = "--suffix",
             defaultValue = "e164.example.org",
             paramLabel = "DOMAIN",
-            description = "Domain " + "of the numbers (default: ${DEFAULT-VALUE}).")
+            description = "Domain of the numbers (default: ${DEFAULT-VALUE}).")
     private String suffix;
 
     @Option(
             names = "--timeout",
             defaultValue = "3",
             paramLabel = "SECONDS",
-            description = "How long to wait " + "(default: ${DEFAULT-VALUE}).")
+            description = "Time to wait for the answer (default: ${DEFAULT-VALUE}).")
     private double timeout;
 
-    @Option(names = "--tcp", description = "Ask over TCP.")
+    @Option(names = "--tcp", description = "Use TCP.")
     private boolean tcp;
 
-    /** Reads HOST:PORT. */
+    /** Converts HOST:PORT option values. */
     static final class EndpointConverter implements ITypeConverter<Endpoint> {
         @Override
         public Endpoint convert(String value) {
@@ -118,8 +118,8 @@
             Message answer = ask(query.toWire());
             return print(result, answer);
         } catch (PortUnreachableException e) {
-            System.err.println("damsonseam: nobody listens at " + server + " (UDP): is the front or authority running, "
-                    + "and is that its port?");
+            System.err.println("damsonseam: no DNS server listens at " + server + " (UDP): is the front or authority "
+                    + "running, and is that its port?");
             return RootCommand.EXIT_FAILED;
         } catch (SocketTimeoutException e) {
             result.put("result", "no answer");
@@ -130,31 +130,31 @@
 
     private Message ask(byte[] question) throws IOException, DnsFormatException {
         if (tcp) {
-            return askStream(question);
+            return askOverTcp(question);
         }
-        long until = System.nanoTime() + (long) (timeout * 1e9);
+        long deadlineNs = System.nanoTime() + (long) (timeout * 1e9);
         try (DatagramSocket socket = new DatagramSocket()) {
-            InetSocketAddress to = server.toSocketAddress();
-            socket.connect(to);
-            socket.send(new DatagramPacket(question, question.length, to));
+            InetSocketAddress address = server.toSocketAddress();
+            socket.connect(address);
+            socket.send(new DatagramPacket(question, question.length, address));
             while (true) {
-                long left = (until - System.nanoTime()) / 1_000_000;
-                if (left <= 0) {
+                long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
+                if (remainingMs <= 0) {
                     throw new SocketTimeoutException();
                 }
-                socket.setSoTimeout((int) left);
-                DatagramPacket packet = new DatagramPacket(new byte[DATAGRAM], DATAGRAM);
+                socket.setSoTimeout((int) remainingMs);
+                DatagramPacket packet = new DatagramPacket(new byte[MAX_DATAGRAM_BYTES], MAX_DATAGRAM_BYTES);
                 socket.receive(packet);
-                byte[] octets = Arrays.copyOf(packet.getData(), packet.getLength());
-                if (DnsCodec.id(octets) == DnsCodec.id(question) && DnsCodec.isAnswer(octets)) {
-                    Message answer = DnsCodec.decode(octets);
-                    return answer.getHeader().getFlag(Flags.TC) ? askStream(question) : answer;
+                byte[] message = Arrays.copyOf(packet.getData(), packet.getLength());
+                if (DnsCodec.id(message) == DnsCodec.id(question) && DnsCodec.isAnswer(message)) {
+                    Message answer = DnsCodec.decode(message);
+                    return answer.getHeader().getFlag(Flags.TC) ? askOverTcp(question) : answer;
                 }
             }
         }
     }
 
-    private Message askStream(byte[] question) throws IOException, DnsFormatException {
+    private Message askOverTcp(byte[] question) throws IOException, DnsFormatException {
         try (Socket socket = new Socket()) {
             socket.connect(server.toSocketAddress(), (int) (timeout * 1_000));
             socket.setSoTimeout((int) (timeout * 1_000));
@@ -175,30 +175,30 @@
                 .map(r -> (NAPTRRecord) r)
                 .toList();
         result.put("rcode", Rcode.string(answer.getRcode()));
-        boolean found = answer.getRcode() == Rcode.NOERROR && !rules.isEmpty();
-        String kind = found ? "stands" : "failed";
-        if (found) {
+        boolean established = answer.getRcode() == Rcode.NOERROR && !rules.isEmpty();
+        String outcome = established ? "stands" : "failed";
+        if (established) {
             String digits = number.startsWith("+") ? number.substring(1) : number;
             result.put("servers", NaptrRules.servers(digits, rules));
             result.put("rules", rules.stream().map(NAPTRRecord::getRegexp).toList());
         } else if (answer.getRcode() == Rcode.NXDOMAIN) {
-            kind = "unknown number";
+            outcome = "unknown number";
         }
         OPTRecord opt = answer.getOPT();
         if (opt != null) {
             for (var option : opt.getOptions(15)) {
                 ExtendedErrorCodeOption error = (ExtendedErrorCodeOption) option;
-                kind = error.getErrorCode() == EnumReplies.EDE_REFUSED ? "refused" : kind;
+                outcome = error.getErrorCode() == EnumReplies.EDE_REFUSED ? "refused" : outcome;
                 result.put("error", error.getErrorCode());
                 result.put("why", error.getText());
             }
-            long wait = CallHints.of(opt).time();
-            if (wait > 0) {
-                result.put("returnAfterMs", wait);
+            long returnAfterMs = CallHints.of(opt).time();
+            if (returnAfterMs > 0) {
+                result.put("returnAfterMs", returnAfterMs);
             }
         }
-        result.put("result", kind);
+        result.put("result", outcome);
         System.out.println(new ObjectMapper().writeValueAsString(result));
-        return found ? RootCommand.EXIT_OK : RootCommand.EXIT_FAILED;
+        return established ? RootCommand.EXIT_OK : RootCommand.EXIT_FAILED;
     }
 }
--- a/src/main/java/damsonseam/cli/Main.java
+++ b/src/main/java/damsonseam/cli/Main.java
@@ -1,11 +1,11 @@
 package damsonseam.cli;
 
-/** Entry of the program. The adapter and the front node are told apart first: neither loads what it can't use. */
+/** Entry point. Starts the adapter and the front node directly, so that they do not load the command-line library. */
 public final class Main {
 
     private Main() {}
 
-    /** Runs the command line; see {@code damsonseam --help}. */
+    /** Runs the program; see {@code damsonseam --help}. */
     public static void main(String[] args) throws Exception {
         if (args.length > 0 && args[0].equals("adapter")) {
             damsonseam.adapter.Main.main(args);
--- a/src/main/java/damsonseam/cli/NodeCommand.java
+++ b/src/main/java/damsonseam/cli/NodeCommand.java
@@ -15,18 +15,18 @@
 import picocli.CommandLine.Option;
 import sun.misc.Signal;
 
-/** Stands in the help; {@link Main} runs the node without the command line's library, which costs its start. */
+/** Runs one front node. {@link Main} calls {@link #run} directly, as loading picocli would delay the node's start. */
 @Command(
         name = "node",
         mixinStandardHelpOptions = true,
         description = {
             "Runs one front node of the platform.",
-            "Reads the JSON file that NODE_CONFIG names. SIGHUP reads it again; SIGTERM finishes what is open and ends."
+            "Reads the JSON file named by NODE_CONFIG. SIGHUP reloads it; SIGTERM drains the node and ends it."
         })
 final class NodeCommand implements Callable<Integer> {
     @Option(
             names = "--rehearse",
-            description = "Play some calls through a node on loopback and end; exits with 1 if " + "one did not stand.")
+            description = "Run some calls through a node on loopback and exit, with 1 if one was not established.")
     private boolean rehearse;
 
     @Override
@@ -40,23 +40,23 @@
     /** Runs a node until SIGTERM; returns the exit code. */
     static int run(String file) throws Exception {
         if (file == null || file.isEmpty()) {
-            System.err.println("damsonseam: NODE_CONFIG names no file");
+            System.err.println("damsonseam: NODE_CONFIG is not set");
             return RootCommand.EXIT_USAGE;
         }
-        // First of all: a signal that comes during the start must neither end the process nor be lost.
+        // Installed first: a signal that arrives during the start must neither kill the process nor be lost.
         ProcessSignals signals = new ProcessSignals();
         Signal.handle(new Signal("HUP"), s -> signals.requestReload());
         Signal.handle(new Signal("TERM"), s -> signals.requestShutdown());
         Signal.handle(new Signal("INT"), s -> signals.requestShutdown());
         Path config = Path.of(file);
-        // The story of each call costs as much as the call: it is told where TRACE is asked for.
-        Level level = Level.toLevel(System.getenv("DAMSONSEAM_LOG"), Level.INFO);
-        Logging.configure(null, level);
+        // The log lines of a call cost as much as the call itself, so they are written only with TRACE.
+        Level logLevel = Level.toLevel(System.getenv("DAMSONSEAM_LOG"), Level.INFO);
+        Logging.configure(null, logLevel);
         ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger(CallLog.NAME))
-                .setLevel(level.isGreaterOrEqual(Level.DEBUG) ? Level.WARN : Level.INFO);
+                .setLevel(logLevel.isGreaterOrEqual(Level.DEBUG) ? Level.WARN : Level.INFO);
         try {
             if (signals.isShutdownRequested()) {
-                return RootCommand.EXIT_OK; // Nobody has been able to connect.
+                return RootCommand.EXIT_OK; // No caller could have connected yet.
             }
             NodeServer node = NodeServer.start(NodeConfig.read(config));
             signals.onStarted(() -> reload(config, node));
@@ -73,14 +73,16 @@
         return RootCommand.EXIT_OK;
     }
 
-    /** A file that can't be used leaves what was read before in force. */
+    /** Reloads the configuration. An invalid file leaves the previous configuration in effect. */
     private static void reload(Path config, NodeServer node) {
         Logger log = LoggerFactory.getLogger(NodeCommand.class);
         try {
-            NodeConfig news = NodeConfig.read(config);
-            node.reload(news);
+            NodeConfig newConfig = NodeConfig.read(config);
+            node.reload(newConfig);
         } catch (SettingsException e) {
-            log.atError().addKeyValue("why", e.getMessage()).log("the new configuration can't be used, the old stays");
+            log.atError()
+                    .addKeyValue("why", e.getMessage())
+                    .log("invalid configuration, the previous one stays in effect");
         }
     }
 }
--- a/src/main/java/damsonseam/cli/OptionChecks.java
+++ b/src/main/java/damsonseam/cli/OptionChecks.java
@@ -3,24 +3,24 @@
 import damsonseam.config.Endpoint;
 import damsonseam.config.SettingsException;
 
-/** Checks of what the command line gives, in the words of the settings' errors and before anything is started. */
+/** Checks option values before anything is started; errors are worded like those of settings files. */
 final class OptionChecks {
 
     private OptionChecks() {}
 
-    /** A number within its range; null, not given, is fine. */
-    static void checkRange(String option, Number value, double least, double most) throws SettingsException {
-        if (value != null && !(value.doubleValue() >= least && value.doubleValue() <= most)) {
+    /** Throws unless the value lies within its range; null, for an option not given, is accepted. */
+    static void checkRange(String option, Number value, double min, double max) throws SettingsException {
+        if (value != null && !(value.doubleValue() >= min && value.doubleValue() <= max)) {
             throw new SettingsException(
-                    option + ": expected " + text(least) + " to " + text(most) + ", found " + value);
+                    option + ": expected " + format(min) + " to " + format(max) + ", found " + value);
         }
     }
 
-    private static String text(double number) {
+    private static String format(double number) {
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 
-    /** An address and port. */
+    /** Parses HOST:PORT. */
     static Endpoint parseEndpoint(String option, String text) throws SettingsException {
         try {
             return Endpoint.parse(text);
--- a/src/main/java/damsonseam/cli/RootCommand.java
+++ b/src/main/java/damsonseam/cli/RootCommand.java
@@ -12,13 +12,13 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.ScopeType;
 
-/** The command line as a whole: its commands, the options that all share, and what each exit code means. */
+/** The root command: its subcommands, the options common to all of them, and the exit codes. */
 @Command(
         name = "damsonseam",
         mixinStandardHelpOptions = true,
         version = "damsonseam 0.2.0",
-        description = "Sets calls up over trunk groups, asked by ENUM over DNS.",
-        footer = {"", "Exit codes: 0 fine, 1 failed or a rule broken, 2 wrong usage or bad settings."},
+        description = "Routes calls over trunk groups on request by ENUM over DNS.",
+        footer = {"", "Exit codes: 0 success, 1 failure or a broken rule, 2 wrong usage or invalid settings."},
         subcommands = {
             FrontCommand.class,
             StandinCommand.class,
@@ -33,11 +33,11 @@
             CommandLine.HelpCommand.class
         })
 public final class RootCommand implements Runnable {
-    /** All went well. */
+    /** Success. */
     static final int EXIT_OK = 0;
-    /** Something failed, or a rule was broken. */
+    /** The command failed, or a rule was broken. */
     static final int EXIT_FAILED = 1;
-    /** The command line or a settings file is wrong. */
+    /** The command line or a settings file is invalid. */
     static final int EXIT_USAGE = 2;
 
     @CommandLine.Spec
@@ -47,7 +47,7 @@
             names = "--log-file",
             scope = ScopeType.INHERIT,
             paramLabel = "FILE",
-            description = "JSON log goes to this file; by default to standard error.")
+            description = "File for the JSON log; by default standard error.")
     private String logFile;
 
     @Option(
@@ -56,7 +56,7 @@
             paramLabel = "LEVEL",
             defaultValue = "WARN",
             description =
-                    "TRACE, DEBUG, INFO, WARN, ERROR or OFF; calls are told at INFO (default: " + "${DEFAULT-VALUE}).")
+                    "TRACE, DEBUG, INFO, WARN, ERROR or OFF; calls are logged at INFO (default: ${DEFAULT-VALUE}).")
     private String logLevel;
 
     @Override
@@ -67,23 +67,23 @@
     /** Runs the command line and returns the exit code. */
     public static int run(String[] args) {
         RootCommand commands = new RootCommand();
-        CommandLine line = new CommandLine(commands);
-        line.setCaseInsensitiveEnumValuesAllowed(true);
-        line.setExecutionStrategy(parsed -> {
+        CommandLine commandLine = new CommandLine(commands);
+        commandLine.setCaseInsensitiveEnumValuesAllowed(true);
+        commandLine.setExecutionStrategy(parsed -> {
             Level level = Level.toLevel(commands.logLevel, null);
             if (level == null) {
-                throw new ParameterException(line, "--log-level: " + commands.logLevel + " is no level");
+                throw new ParameterException(commandLine, "--log-level: " + commands.logLevel + " is not a log level");
             }
             Logging.configure(commands.logFile, level);
             return new CommandLine.RunLast().execute(parsed);
         });
-        line.setExecutionExceptionHandler((e, at, parsed) -> failed(e, at.getErr()));
-        int code = line.execute(args);
+        commandLine.setExecutionExceptionHandler((e, command, parsed) -> handleException(e, command.getErr()));
+        int code = commandLine.execute(args);
         Logging.flush();
         return code;
     }
 
-    private static int failed(Exception e, PrintWriter err) throws Exception {
+    private static int handleException(Exception e, PrintWriter err) throws Exception {
         if (e instanceof SettingsException) {
             err.println("damsonseam: " + e.getMessage());
             return EXIT_USAGE;
--- a/src/main/java/damsonseam/cli/ShutdownSignal.java
+++ b/src/main/java/damsonseam/cli/ShutdownSignal.java
@@ -3,25 +3,25 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Waits for the end that a signal or a time sets, then ends things in order before the process goes. */
+/** Waits for a termination signal or a timeout, then stops the program in order before the JVM exits. */
 final class ShutdownSignal {
 
-    /** What ends a running program. */
+    /** Stops a running program. */
     interface StopAction {
         void stop() throws Exception;
     }
 
     private ShutdownSignal() {}
 
-    /** Returns after {@code seconds} (0: never by itself) or at a signal, having run {@code end} once. */
-    static void awaitThenStop(double seconds, StopAction end) throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
-        CountDownLatch done = new CountDownLatch(1);
+    /** Waits {@code seconds} (0: without limit) or until a signal, runs {@code stopAction} once and returns. */
+    static void awaitThenStop(double seconds, StopAction stopAction) throws Exception {
+        CountDownLatch shutdownRequested = new CountDownLatch(1);
+        CountDownLatch stopped = new CountDownLatch(1);
         Thread hook = new Thread(
                 () -> {
-                    asked.countDown();
+                    shutdownRequested.countDown();
                     try {
-                        done.await(20, TimeUnit.SECONDS);
+                        stopped.await(20, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -30,17 +30,17 @@
         Runtime.getRuntime().addShutdownHook(hook);
         try {
             if (seconds > 0) {
-                asked.await((long) (seconds * 1_000), TimeUnit.MILLISECONDS);
+                shutdownRequested.await((long) (seconds * 1_000), TimeUnit.MILLISECONDS);
             } else {
-                asked.await();
+                shutdownRequested.await();
             }
-            end.stop();
+            stopAction.stop();
         } finally {
-            done.countDown();
+            stopped.countDown();
             try {
                 Runtime.getRuntime().removeShutdownHook(hook);
             } catch (IllegalStateException e) {
-                // The signal is what ended it.
+                // The JVM is already shutting down because of the signal.
                 Logging.flush();
             }
         }
--- a/src/main/java/damsonseam/cli/StandinCommand.java
+++ b/src/main/java/damsonseam/cli/StandinCommand.java
@@ -22,12 +22,16 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Single stand-ins, for a front that is started by hand. */
+/** Runs single stand-ins, for a front that is started by hand. */
 @Command(
         name = "standin",
         mixinStandardHelpOptions = true,
         description = "Runs one kind of stand-in on loopback.",
-        subcommands = {StandinCommand.Dns.class, StandinCommand.Calculators.class, StandinCommand.Directory.class})
+        subcommands = {
+            StandinCommand.DnsCommand.class,
+            StandinCommand.CalculatorsCommand.class,
+            StandinCommand.DirectoryCommand.class
+        })
 final class StandinCommand implements Runnable {
     private static final int FIRST_POINT_CODE = 1_000;
 
@@ -39,63 +43,59 @@
         throw new picocli.CommandLine.ParameterException(spec.commandLine(), "a kind of stand-in is missing");
     }
 
-    /** What all kinds share. */
-    static final class Shared {
+    /** Options common to all kinds. */
+    static final class SharedOptions {
         @Option(
                 names = "--port",
                 defaultValue = "0",
                 paramLabel = "P",
-                description = "Port, 0: the system " + "chooses; calculators take it and those after it.")
+                description = "Port; 0: chosen by the system. Calculators use this port and the following ones.")
         private int port;
 
-        @Option(
-                names = "--seconds",
-                defaultValue = "0",
-                paramLabel = "N",
-                description = "End after so long; 0: " + "run until a signal.")
+        @Option(names = "--seconds", defaultValue = "0", paramLabel = "N", description = "Run time; 0: until a signal.")
         private double seconds;
 
-        private InetSocketAddress at(int offset) {
+        private InetSocketAddress address(int offset) {
             return new InetSocketAddress("127.0.0.1", port == 0 ? 0 : port + offset);
         }
 
-        private void ready(Object what, ShutdownSignal.StopAction end) throws Exception {
-            System.out.println(new ObjectMapper().writeValueAsString(what));
+        private void announceAndWait(Object description, ShutdownSignal.StopAction stopAction) throws Exception {
+            System.out.println(new ObjectMapper().writeValueAsString(description));
             System.out.flush();
-            ShutdownSignal.awaitThenStop(seconds, end);
+            ShutdownSignal.awaitThenStop(seconds, stopAction);
         }
     }
 
-    /** An authority whose numbers all lead to the hosts given. */
-    @Command(name = "dns", mixinStandardHelpOptions = true, description = "An ENUM authority.")
-    static final class Dns implements Callable<Integer> {
+    /** Runs an authority that answers every number with the given hosts. */
+    @Command(name = "dns", mixinStandardHelpOptions = true, description = "Runs an ENUM authority.")
+    static final class DnsCommand implements Callable<Integer> {
         @Mixin
-        private Shared shared;
+        private SharedOptions shared;
 
         @Option(names = "--suffix", defaultValue = "e164.example.org", paramLabel = "DOMAIN")
         private String suffix;
 
-        @Parameters(paramLabel = "HOST", arity = "1..*", description = "Calculators, first choice first.")
+        @Parameters(paramLabel = "HOST", arity = "1..*", description = "Calculators in order of preference.")
         private List<String> hosts;
 
         @Override
         public Integer call() throws Exception {
-            MultiThreadIoEventLoopGroup group = group();
+            MultiThreadIoEventLoopGroup group = newEventLoopGroup();
             DnsAuthority authority = new DnsAuthority(suffix, n -> hosts, 60, (EventLoop) group.next());
-            InetSocketAddress at = authority.start(shared.at(0));
-            shared.ready(Map.of("dns", "127.0.0.1:" + at.getPort(), "suffix", suffix), () -> {
+            InetSocketAddress at = authority.start(shared.address(0));
+            shared.announceAndWait(Map.of("dns", "127.0.0.1:" + at.getPort(), "suffix", suffix), () -> {
                 authority.close();
-                stop(group);
+                shutDown(group);
             });
             return RootCommand.EXIT_OK;
         }
     }
 
-    /** Calculators of the default kind. */
-    @Command(name = "calculators", mixinStandardHelpOptions = true, description = "Calculators.")
-    static final class Calculators implements Callable<Integer> {
+    /** Runs calculators with default settings. */
+    @Command(name = "calculators", mixinStandardHelpOptions = true, description = "Runs calculators.")
+    static final class CalculatorsCommand implements Callable<Integer> {
         @Mixin
-        private Shared shared;
+        private SharedOptions shared;
 
         @Option(names = "--count", defaultValue = "3", paramLabel = "N")
         private int count;
@@ -104,70 +104,73 @@
                 names = "--hold",
                 defaultValue = "8",
                 paramLabel = "SECONDS",
-                description = "Mean length of a " + "call (default: ${DEFAULT-VALUE}).")
-        private double hold;
+                description = "Mean holding time of a call (default: ${DEFAULT-VALUE}).")
+        private double meanHoldS;
 
         @Override
         public Integer call() throws Exception {
-            MultiThreadIoEventLoopGroup group = group();
-            List<Calculator> all = new ArrayList<>();
-            Map<String, Object> places = new LinkedHashMap<>();
+            MultiThreadIoEventLoopGroup group = newEventLoopGroup();
+            List<Calculator> calculators = new ArrayList<>();
+            Map<String, Object> addresses = new LinkedHashMap<>();
             for (int i = 0; i < count; i++) {
-                Calculator c = new Calculator(
+                Calculator calculator = new Calculator(
                         String.format("calc-%02d.example.org", i),
                         FIRST_POINT_CODE + i,
                         CalculatorSettings.defaults(),
                         (EventLoop) group.next(),
                         i,
-                        n -> hold * 1_000,
+                        n -> meanHoldS * 1_000,
                         n -> {},
                         null);
-                c.start(shared.at(i), false);
-                all.add(c);
-                places.put(c.id(), "127.0.0.1:" + c.address().getPort() + " pc=" + c.pointCode());
+                calculator.start(shared.address(i), false);
+                calculators.add(calculator);
+                addresses.put(
+                        calculator.id(),
+                        "127.0.0.1:" + calculator.address().getPort() + " pc=" + calculator.pointCode());
             }
-            shared.ready(Map.of("calculators", places), () -> {
-                all.forEach(Calculator::close);
-                stop(group);
+            shared.announceAndWait(Map.of("calculators", addresses), () -> {
+                calculators.forEach(Calculator::close);
+                shutDown(group);
             });
             return RootCommand.EXIT_OK;
         }
     }
 
-    /** A directory of calculators given on the command line. */
-    @Command(name = "directory", mixinStandardHelpOptions = true, description = "A pool directory.")
-    static final class Directory implements Callable<Integer> {
+    /** Runs a directory of the calculators given on the command line. */
+    @Command(name = "directory", mixinStandardHelpOptions = true, description = "Runs a pool directory.")
+    static final class DirectoryCommand implements Callable<Integer> {
         @Mixin
-        private Shared shared;
+        private SharedOptions shared;
 
         @Parameters(
                 paramLabel = "ID=HOST:PORT",
                 arity = "1..*",
-                description = "Calculators, numbered from 0, " + "with point codes from 1000 in their order.")
+                description = "Calculators; indexes from 0 and point codes from 1000 are assigned in this order.")
         private Map<String, String> servers;
 
         @Override
         public Integer call() throws Exception {
             DirectoryServer directory = new DirectoryServer(0, null);
-            InetSocketAddress at = directory.start(shared.at(0));
-            int number = 0;
+            InetSocketAddress at = directory.start(shared.address(0));
+            int serverIndex = 0;
             for (Map.Entry<String, String> server : servers.entrySet()) {
                 String address = Endpoint.parse(server.getValue()).toString();
                 directory.setNow(
-                        new DirectoryServer.Listed(server.getKey(), number, address, FIRST_POINT_CODE + number),
+                        new DirectoryServer.Listed(
+                                server.getKey(), serverIndex, address, FIRST_POINT_CODE + serverIndex),
                         State.RUNNING);
-                number++;
+                serverIndex++;
             }
-            shared.ready(Map.of("directory", "127.0.0.1:" + at.getPort()), directory::close);
+            shared.announceAndWait(Map.of("directory", "127.0.0.1:" + at.getPort()), directory::close);
             return RootCommand.EXIT_OK;
         }
     }
 
-    private static MultiThreadIoEventLoopGroup group() {
+    private static MultiThreadIoEventLoopGroup newEventLoopGroup() {
         return new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     }
 
-    private static void stop(MultiThreadIoEventLoopGroup group) {
+    private static void shutDown(MultiThreadIoEventLoopGroup group) {
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/damsonseam/cli/package-info.java
+++ b/src/main/java/damsonseam/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line: thin commands over the other packages. */
+/** The command line: thin picocli commands over the other packages. */
 package damsonseam.cli;
