--- a/src/main/java/damsonseam/cli/NodeCommand.java
+++ b/src/main/java/damsonseam/cli/NodeCommand.java
@@ -52,7 +52,7 @@
         // The log lines of a call cost as much as the call itself, so they are written only with TRACE.
         Level logLevel = Level.toLevel(System.getenv("DAMSONSEAM_LOG"), Level.INFO);
         Logging.configure(null, logLevel);
-        ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger(CallLog.NAME))
+        ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger(CallLog.LOGGER_NAME))
                 .setLevel(logLevel.isGreaterOrEqual(Level.DEBUG) ? Level.WARN : Level.INFO);
         try {
             if (signals.isShutdownRequested()) {
--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -5,7 +5,7 @@
 import damsonseam.core.NumberPlan;
 import damsonseam.dns.E164Name;
 import damsonseam.overload.OverloadSettings;
-import damsonseam.overload.Ranks;
+import damsonseam.overload.WorthRanks;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -358,8 +358,8 @@
     }
 
     /** Returns the ranks of the call classes by worth. */
-    public Ranks ranks() {
-        return new Ranks(classes.stream().map(CallClassSettings::worth).toList());
+    public WorthRanks ranks() {
+        return new WorthRanks(classes.stream().map(CallClassSettings::worth).toList());
     }
 
     /** Interval of the event loop's ticks: a quarter of the decision module's default tick. */
--- a/src/main/java/damsonseam/front/DatagramIntake.java
+++ b/src/main/java/damsonseam/front/DatagramIntake.java
@@ -2,18 +2,18 @@
 
 import damsonseam.config.FrontSettings;
 import damsonseam.core.NumberPlan;
-import damsonseam.core.QueueAge;
+import damsonseam.core.QueueAgeEstimator;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.EnumReplies;
 import damsonseam.dns.EnumService;
 import damsonseam.dns.PlainQuestion;
 import damsonseam.dns.PlainReply;
-import damsonseam.loop.Loop;
-import damsonseam.overload.Admission;
-import damsonseam.overload.HeavySenders;
-import damsonseam.overload.LoopGauge;
-import damsonseam.overload.Ranks;
-import damsonseam.overload.Remembered;
+import damsonseam.loop.CoreLoop;
+import damsonseam.overload.AdmissionController;
+import damsonseam.overload.DecisionCache;
+import damsonseam.overload.HeavySenderDetector;
+import damsonseam.overload.LoopDelayGauge;
+import damsonseam.overload.WorthRanks;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -63,22 +63,22 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop intakeLoop = (EventLoop) group.next();
-    private final Loop loop;
+    private final CoreLoop loop;
     private final PlainQuestion.Suffix suffix;
     private final NumberPlan numberPlan;
-    private final Ranks ranks;
-    private final Admission admission;
+    private final WorthRanks ranks;
+    private final AdmissionController admission;
     private final FrontLoadState load;
     private final QuestionQueue queue;
-    private final Remembered recentDecisions;
+    private final DecisionCache recentDecisions;
     private final double returnPathMs;
     private final long queueFullAdviceMs;
     private final Runnable drainTask;
     private final AtomicBoolean drainScheduled = new AtomicBoolean();
     private final MpscArrayQueue<DatagramPacket> pendingAnswers = new MpscArrayQueue<>(MAX_PENDING_ANSWERS);
     private final AtomicBoolean flushScheduled = new AtomicBoolean();
-    private final QueueAge queueAge;
-    private final LoopGauge loopGauge = new LoopGauge(FrontSettings.TICK_MS);
+    private final QueueAgeEstimator queueAge;
+    private final LoopDelayGauge loopGauge = new LoopDelayGauge(FrontSettings.TICK_MS);
     private final Counters counters;
     private Channel channel;
     private DatagramChannel datagramChannel;
@@ -116,11 +116,11 @@
      * @param drain run on the event loop when the queue has become non-empty
      */
     DatagramIntake(
-            Loop loop,
+            CoreLoop loop,
             FrontSettings settings,
             PlainQuestion.Suffix suffix,
             NumberPlan plan,
-            Admission admission,
+            AdmissionController admission,
             FrontLoadState load,
             QuestionQueue queue,
             Runnable drain) {
@@ -136,7 +136,7 @@
                 .mapToDouble(n -> n.patience().ms())
                 .max()
                 .orElse(0);
-        recentDecisions = new Remembered(
+        recentDecisions = new DecisionCache(
                 maxPatienceMs + settings.enumSettings().keepAnswers().ms(),
                 settings.limits().questions());
         counters = new Counters(ranks.count());
@@ -144,7 +144,7 @@
         this.drainTask = drain;
         byte[] nonce = new byte[NONCE_BYTES];
         new SecureRandom().nextBytes(nonce);
-        queueAge = new QueueAge(nonce, FrontSettings.TICK_MS);
+        queueAge = new QueueAgeEstimator(nonce, FrontSettings.TICK_MS);
     }
 
     /** Binds the socket. Reading starts with {@link #start}. */
@@ -180,8 +180,9 @@
         intakeLoop.scheduleWithFixedDelay(
                 () -> {
                     double now = loop.now();
-                    loopGauge.beat(now);
-                    channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(queueAge.marker(now)), ownAddress));
+                    loopGauge.recordTick(now);
+                    channel.writeAndFlush(
+                            new DatagramPacket(Unpooled.wrappedBuffer(queueAge.createMarker(now)), ownAddress));
                 },
                 0,
                 tickNs,
@@ -257,7 +258,7 @@
         return new Counters(counters);
     }
 
-    LoopGauge loopGauge() {
+    LoopDelayGauge loopGauge() {
         return loopGauge;
     }
 
@@ -277,7 +278,7 @@
         NumberPlan.Entry entry = plain == null ? null : numberPlan.find(plain.number());
         if (entry == null) {
             counters.slowPath++;
-            if (!enqueue(0, new QuestionQueue.QueuedQuestion(from, null, null, message, now, queueAge.age(now)))
+            if (!enqueue(0, new QuestionQueue.QueuedQuestion(from, null, null, message, now, queueAge.maxAge(now)))
                     && message.length >= DnsCodec.HEADER
                     && !DnsCodec.isAnswer(message)) {
                 writeAnswer(ctx, from, EnumReplies.refused(message));
@@ -285,14 +286,14 @@
             return;
         }
         byte[] address = from.getAddress().getAddress();
-        long fingerprint = plain.fingerprint(HeavySenders.hash(address) + from.getPort());
-        int rank = ranks.of(entry.callClass());
+        long fingerprint = plain.fingerprint(HeavySenderDetector.hash(address) + from.getPort());
+        int rank = ranks.rankOfClass(entry.callClass());
         QuestionQueue.QueuedQuestion queued =
-                new QuestionQueue.QueuedQuestion(from, plain, entry, message, now, queueAge.age(now));
+                new QuestionQueue.QueuedQuestion(from, plain, entry, message, now, queueAge.maxAge(now));
         long remembered = recentDecisions.find(fingerprint, now);
-        if (remembered != Remembered.UNKNOWN) {
+        if (remembered != DecisionCache.UNKNOWN) {
             counters.retransmitted++;
-            if (remembered == Remembered.TAKEN) {
+            if (remembered == DecisionCache.ADMITTED) {
                 // The call is open or answered, which the event loop knows; if the queue is full this copy is dropped.
                 enqueue(rank, queued);
             } else {
@@ -310,10 +311,10 @@
             refuse(ctx, queued, EXPIRED);
             return;
         }
-        long adviceMs = admission.decide(now, rank, HeavySenders.sender(address), load);
-        if (adviceMs == Admission.TAKE) {
+        long adviceMs = admission.decide(now, rank, HeavySenderDetector.senderKey(address), load);
+        if (adviceMs == AdmissionController.ADMIT) {
             if (enqueue(rank, queued)) {
-                recentDecisions.put(fingerprint, Remembered.TAKEN, now);
+                recentDecisions.put(fingerprint, DecisionCache.ADMITTED, now);
                 return;
             }
             counters.queueFull++;
@@ -354,7 +355,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             byte[] message = ByteBufUtil.getBytes(packet.content());
-            if (!queueAge.read(message)) {
+            if (!queueAge.consumeMarker(message)) {
                 handleQuestion(ctx, packet.sender(), message);
             }
         }
--- a/src/main/java/damsonseam/front/TrunkLink.java
+++ b/src/main/java/damsonseam/front/TrunkLink.java
@@ -4,10 +4,10 @@
 import damsonseam.Front.Report;
 import damsonseam.Front.Result;
 import damsonseam.config.FrontSettings;
-import damsonseam.core.Circuits;
-import damsonseam.core.Pool;
+import damsonseam.core.CircuitAllocator;
 import damsonseam.core.Router;
-import damsonseam.loop.Loop;
+import damsonseam.core.ServerList;
+import damsonseam.loop.CoreLoop;
 import damsonseam.ss7.AspSession;
 import damsonseam.ss7.Isup;
 import damsonseam.ss7.M3ua;
@@ -43,10 +43,10 @@
     /** Unsent bytes from which the peer is assumed not to read; no set-up is sent to it then. */
     private static final int MAX_UNSENT_BYTES = 1 << 20;
 
-    private final Loop loop;
+    private final CoreLoop loop;
     private final Router router;
     private final FrontSettings settings;
-    private Pool.Server server;
+    private ServerList.Server server;
     private final AspSession session;
     private final TrunkGroup group;
     private Channel channel;
@@ -56,7 +56,7 @@
     private boolean flushPending;
     private boolean closedLocally;
 
-    TrunkLink(Loop loop, Router router, FrontSettings settings, Pool.Server server) {
+    TrunkLink(CoreLoop loop, Router router, FrontSettings settings, ServerList.Server server) {
         this.loop = loop;
         this.router = router;
         this.settings = settings;
@@ -72,7 +72,7 @@
                 trunks.probeTimeout().ms(),
                 trunks.heartbeat().ms());
         group = new TrunkGroup(
-                new Circuits(trunks.circuits(), ownPointCode > server.pointCode()),
+                new CircuitAllocator(trunks.circuits(), ownPointCode > server.pointCode()),
                 loop.timers(),
                 new TrunkGroup.Times(
                         trunks.t1().ms(), trunks.t5().ms(), trunks.t17().ms()),
@@ -82,7 +82,7 @@
     }
 
     /** Called when the server list contains this server, possibly at a new address. */
-    void onListed(Pool.Server listedServer) {
+    void onListed(ServerList.Server listedServer) {
         boolean addressChanged = !listedServer.address().equals(server.address());
         server = listedServer;
         listed = true;
@@ -183,7 +183,7 @@
         // All fronts lose a server at the same time: jitter of half the delay spreads their reconnects.
         double delayMs = reconnectDelayMs * (0.5 + 0.5 * Math.random());
         reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, 2 * reconnectDelayMs);
-        loop.timers().set(loop.now() + delayMs, now -> {
+        loop.timers().schedule(loop.now() + delayMs, now -> {
             if (listed && channel == null) {
                 connect();
             }
@@ -260,13 +260,13 @@
 
         @Override
         public void probed(boolean answered, double delay) {
-            router.probed(loop.now(), server.id(), true, answered, delay, Report.NONE);
-            loop.kick();
+            router.probeCompleted(loop.now(), server.id(), true, answered, delay, Report.NONE);
+            loop.scheduleBatchEnd();
         }
 
         @Override
         public void stands(double now, long call, int attempt, Report report) {
-            router.stands(now, call, attempt, report);
+            router.callEstablished(now, call, attempt, report);
         }
 
         @Override
@@ -279,18 +279,18 @@
                 OptionalDouble toldWait,
                 Report report) {
             if (closedLocally) {
-                loop.timers().set(now + settings.trunks().releaseWait().ms(), at -> {
-                    router.ended(at, call, attempt, result, reason, toldWait, report);
-                    loop.kick();
+                loop.timers().schedule(now + settings.trunks().releaseWait().ms(), at -> {
+                    router.attemptEnded(at, call, attempt, result, reason, toldWait, report);
+                    loop.scheduleBatchEnd();
                 });
             } else {
-                router.ended(now, call, attempt, result, reason, toldWait, report);
+                router.attemptEnded(now, call, attempt, result, reason, toldWait, report);
             }
         }
 
         @Override
         public void released(double now, long call, int attempt) {
-            router.released(now, call, attempt);
+            router.releaseConfirmed(now, call, attempt);
         }
     }
 
@@ -309,7 +309,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            router.catchUp(loop.now());
+            router.fireOverdueTimers(loop.now());
             byte[] message = ByteBufUtil.getBytes(frame);
             try {
                 session.received(loop.now(), M3ua.decode(message));
@@ -320,7 +320,7 @@
                         Unpooled.wrappedBuffer(M3ua.error(e.code(), message).encode()));
             }
             closeIfIdle();
-            loop.kick();
+            loop.scheduleBatchEnd();
         }
 
         @Override
@@ -330,7 +330,7 @@
             session.closed(now);
             group.connectionLost(now);
             closedLocally = false;
-            loop.kick();
+            loop.scheduleBatchEnd();
             scheduleReconnect();
         }
 
