--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -362,7 +362,7 @@
         return new WorthRanks(classes.stream().map(CallClassSettings::worth).toList());
     }
 
-    /** Interval of the event loop's ticks: a quarter of the decision module's default tick. */
+    /** Interval of the event loop's ticks: a quarter of the decision module's sweep interval. */
     public static final double TICK_MS = 5;
     /**
      * Answers later than this after the end of a caller's patience do not count. Also how long before that end the core
--- a/src/main/java/damsonseam/config/Yaml.java
+++ b/src/main/java/damsonseam/config/Yaml.java
@@ -43,8 +43,8 @@
     /** Parses a text; {@code name} names it in error messages. */
     public static <T> T parse(String name, String text, Class<T> type) throws SettingsException {
         try {
-            try (JsonParser in = MAPPER.createParser(text)) {
-                UnknownKeyCheck.check(name, in, type);
+            try (JsonParser parser = MAPPER.createParser(text)) {
+                UnknownKeyCheck.check(name, parser, type);
             }
             T value = MAPPER.readValue(text, type);
             if (value == null) {
--- a/src/main/java/damsonseam/front/DatagramIntake.java
+++ b/src/main/java/damsonseam/front/DatagramIntake.java
@@ -149,10 +149,10 @@
 
     /** Binds the socket. Reading starts with {@link #start}. */
     InetSocketAddress bind(InetSocketAddress address) throws IOException, InterruptedException {
-        DatagramChannel opened = DatagramChannel.open();
+        DatagramChannel openedChannel = DatagramChannel.open();
         Bootstrap bootstrap = new Bootstrap()
                 .group(intakeLoop)
-                .channelFactory(() -> new NioDatagramChannel(opened))
+                .channelFactory(() -> new NioDatagramChannel(openedChannel))
                 .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
                 .option(ChannelOption.SO_SNDBUF, SEND_BUFFER_BYTES)
                 .option(
@@ -166,7 +166,7 @@
                     "DNS over UDP on " + address + ": " + bound.cause().getMessage());
         }
         channel = bound.channel();
-        datagramChannel = opened;
+        datagramChannel = openedChannel;
         InetSocketAddress boundAddress = (InetSocketAddress) channel.localAddress();
         ownAddress = boundAddress.getAddress().isAnyLocalAddress()
                 ? new InetSocketAddress(InetAddress.getLoopbackAddress(), boundAddress.getPort())
@@ -240,8 +240,8 @@
         if (!pendingAnswers.isEmpty() && flushScheduled.compareAndSet(false, true)) {
             intakeLoop.execute(() -> {
                 flushScheduled.set(false);
-                for (DatagramPacket p = pendingAnswers.poll(); p != null; p = pendingAnswers.poll()) {
-                    channel.write(p);
+                for (DatagramPacket packet = pendingAnswers.poll(); packet != null; packet = pendingAnswers.poll()) {
+                    channel.write(packet);
                 }
                 channel.flush();
             });
@@ -274,8 +274,8 @@
     private void handleQuestion(ChannelHandlerContext ctx, InetSocketAddress from, byte[] message) {
         double now = loop.now();
         counters.questionsRead++;
-        PlainQuestion plain = PlainQuestion.read(message, suffix);
-        NumberPlan.Entry entry = plain == null ? null : numberPlan.find(plain.number());
+        PlainQuestion plainQuestion = PlainQuestion.read(message, suffix);
+        NumberPlan.Entry entry = plainQuestion == null ? null : numberPlan.find(plainQuestion.number());
         if (entry == null) {
             counters.slowPath++;
             if (!enqueue(0, new QuestionQueue.QueuedQuestion(from, null, null, message, now, queueAge.maxAge(now)))
@@ -286,10 +286,10 @@
             return;
         }
         byte[] address = from.getAddress().getAddress();
-        long fingerprint = plain.fingerprint(HeavySenderDetector.hash(address) + from.getPort());
+        long fingerprint = plainQuestion.fingerprint(HeavySenderDetector.hash(address) + from.getPort());
         int rank = ranks.rankOfClass(entry.callClass());
         QuestionQueue.QueuedQuestion queued =
-                new QuestionQueue.QueuedQuestion(from, plain, entry, message, now, queueAge.maxAge(now));
+                new QuestionQueue.QueuedQuestion(from, plainQuestion, entry, message, now, queueAge.maxAge(now));
         long remembered = recentDecisions.find(fingerprint, now);
         if (remembered != DecisionCache.UNKNOWN) {
             counters.retransmitted++;
@@ -302,8 +302,9 @@
             return;
         }
         counters.offered[rank]++;
-        double patienceMs =
-                plain.hints().time() > 0 ? Math.min(plain.hints().time(), entry.patience()) : entry.patience();
+        double patienceMs = plainQuestion.hints().time() > 0
+                ? Math.min(plainQuestion.hints().time(), entry.patience())
+                : entry.patience();
         if (queued.socketAgeMs() > patienceMs - returnPathMs - FrontSettings.ANSWER_SLACK_MS) {
             // The caller has given up or will have before an answer can arrive: fail at once, without a set-up.
             counters.expired++;
@@ -326,13 +327,13 @@
     }
 
     private void refuse(ChannelHandlerContext ctx, QuestionQueue.QueuedQuestion question, long adviceMs) {
-        PlainQuestion plain = question.plain();
+        PlainQuestion plainQuestion = question.plain();
         writeAnswer(
                 ctx,
                 question.sender(),
                 adviceMs == EXPIRED
-                        ? PlainReply.failed(plain, "waited unread too long", plain.limit())
-                        : PlainReply.refused(plain, adviceMs, EnumService.BUSY, plain.limit()));
+                        ? PlainReply.failed(plainQuestion, "waited unread too long", plainQuestion.limit())
+                        : PlainReply.refused(plainQuestion, adviceMs, EnumService.BUSY, plainQuestion.limit()));
     }
 
     private static void writeAnswer(ChannelHandlerContext ctx, InetSocketAddress to, byte[] message) {
--- a/src/main/java/damsonseam/front/DirectoryClient.java
+++ b/src/main/java/damsonseam/front/DirectoryClient.java
@@ -110,10 +110,10 @@
         boolean gap;
         try {
             gap = router.serverListUpdated(now, update.getVersion(), update.getFull(), servers(update, now));
-        } catch (IllegalArgumentException e) {
+        } catch (IllegalArgumentException entry) {
             LOG.atWarn()
                     .addKeyValue("version", update.getVersion())
-                    .addKeyValue("why", e.getMessage())
+                    .addKeyValue("why", entry.getMessage())
                     .log("directory update refused");
             return;
         }
@@ -131,24 +131,24 @@
 
     private static List<ServerList.Server> servers(Update update, double now) {
         List<ServerList.Server> servers = new ArrayList<>(update.getEntriesCount());
-        for (Entry e : update.getEntriesList()) {
+        for (Entry entry : update.getEntriesList()) {
             State state =
-                    switch (e.getState()) {
+                    switch (entry.getState()) {
                         case RUNNING -> State.RUNNING;
                         case DRAINING -> State.DRAINING;
                         case GONE -> State.GONE;
-                        default -> throw new IllegalArgumentException("server " + e.getServer() + " has no state");
+                        default -> throw new IllegalArgumentException("server " + entry.getServer() + " has no state");
                     };
-            if (e.getServer().isEmpty() || state != State.GONE) {
-                damsonseam.config.Endpoint.parse(e.getAddress());
+            if (entry.getServer().isEmpty() || state != State.GONE) {
+                damsonseam.config.Endpoint.parse(entry.getAddress());
             }
             servers.add(new ServerList.Server(
-                    e.getServer(),
-                    e.getNumber(),
-                    e.getAddress(),
-                    e.getPointCode(),
+                    entry.getServer(),
+                    entry.getNumber(),
+                    entry.getAddress(),
+                    entry.getPointCode(),
                     state,
-                    e.hasAgeMs() ? OptionalDouble.of(now - e.getAgeMs()) : OptionalDouble.empty()));
+                    entry.hasAgeMs() ? OptionalDouble.of(now - entry.getAgeMs()) : OptionalDouble.empty()));
         }
         return servers;
     }
--- a/src/main/java/damsonseam/front/DnsListener.java
+++ b/src/main/java/damsonseam/front/DnsListener.java
@@ -52,9 +52,9 @@
         queue = new QuestionQueue(ranks.count(), settings.overload().queue());
         load = new FrontLoadState(queue, ranks.count(), FrontSettings.TICK_MS);
         intake = new DatagramIntake(loop, settings, suffix, plan, admission.get(), load, queue, this::drain);
-        AdmissionController forStreams = admission.get();
+        AdmissionController streamAdmission = admission.get();
         streamGate = (now, callClass, source) ->
-                forStreams.decide(now, ranks.rankOfClass(callClass), senderHash(source), load);
+                streamAdmission.decide(now, ranks.rankOfClass(callClass), senderHash(source), load);
         streams = new StreamListener(
                 loop, service, router, streamGate, settings.limits().connections());
     }
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -78,7 +78,7 @@
         }
     }
 
-    private FrontServer(FrontSettings settings, Components parts, boolean logCalls)
+    private FrontServer(FrontSettings settings, Components components, boolean logCalls)
             throws IOException, InterruptedException {
         this.settings = settings;
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -118,7 +118,7 @@
                         FrontSettings.TICK_MS,
                         settings.trunks().releaseWait().ms(),
                         FrontSettings.ANSWER_SLACK_MS),
-                parts.module(),
+                components.module(),
                 new CallTable(limits.calls(), System.currentTimeMillis() / 1000),
                 loop.timers(),
                 (call, number, deadline) -> {
@@ -138,7 +138,7 @@
                         settings.enumSettings().keepAnswers().ms()),
                 settings.enumSettings().wayBack().ms());
         dnsListener = new DnsListener(
-                loop, enumService, router, settings, plan, new PlainQuestion.Suffix(suffix), parts.admission());
+                loop, enumService, router, settings, plan, new PlainQuestion.Suffix(suffix), components.admission());
         selfMonitor = new SelfMonitor(settings, router, resolver, cache, dnsListener.load());
     }
 
@@ -148,9 +148,9 @@
     }
 
     /** Starts a front with the given components. Returns when its DNS port is open. */
-    public static FrontServer start(FrontSettings settings, Components parts, boolean logCalls)
+    public static FrontServer start(FrontSettings settings, Components components, boolean logCalls)
             throws IOException, InterruptedException {
-        FrontServer front = new FrontServer(settings, parts, logCalls);
+        FrontServer front = new FrontServer(settings, components, logCalls);
         try {
             front.openSockets();
         } catch (IOException e) {
@@ -259,7 +259,7 @@
                     selfMonitor.longestBatchMs(),
                     router.openCalls(),
                     router.unansweredCalls(),
-                    selfMonitor.heldCapacity());
+                    selfMonitor.heldCallLimit());
         });
     }
 
--- a/src/main/java/damsonseam/front/JvmMonitor.java
+++ b/src/main/java/damsonseam/front/JvmMonitor.java
@@ -43,9 +43,9 @@
         }
     };
     private final ScheduledExecutorService sampler = Executors.newSingleThreadScheduledExecutor(r -> {
-        Thread t = new Thread(r, "jvm-monitor");
-        t.setDaemon(true);
-        return t;
+        Thread thread = new Thread(r, "jvm-monitor");
+        thread.setDaemon(true);
+        return thread;
     });
     private volatile long loopThreadId = -1;
     private volatile double heapShare;
--- a/src/main/java/damsonseam/front/SelfMonitor.java
+++ b/src/main/java/damsonseam/front/SelfMonitor.java
@@ -38,9 +38,9 @@
     private final FrontLoadState load;
     private final JvmMonitor jvmMonitor = new JvmMonitor();
     private final LoopDelayGauge loopGauge = new LoopDelayGauge(FrontSettings.TICK_MS);
-    private final MemoryMonitor memoryWatch;
-    private final TablePressure tables;
-    private final HeldCallLimit heldCalls;
+    private final MemoryMonitor memoryMonitor;
+    private final TablePressure tablePressure;
+    private final HeldCallLimit heldCallLimit;
     private double resourcePressure = -1;
     private final Map<Cause, Long> secondsByCause = new EnumMap<>(Cause.class);
     private Cause lastCause = Cause.CALM;
@@ -54,7 +54,7 @@
     private double longestBatchMs;
     private double longestBatchInWindowMs;
     private double previousLoopCpuMs;
-    private long previousTaken;
+    private long previousReceived;
 
     SelfMonitor(FrontSettings settings, Router router, Resolver resolver, LookupCache cache, FrontLoadState load) {
         this.settings = settings;
@@ -65,9 +65,9 @@
         frontName = settings.front().name();
         overloadSettings = settings.overloadSettings();
         ranks = settings.ranks();
-        memoryWatch = new MemoryMonitor(overloadSettings);
-        tables = new TablePressure(overloadSettings, ranks.count());
-        heldCalls = new HeldCallLimit(settings.limits().calls());
+        memoryMonitor = new MemoryMonitor(overloadSettings);
+        tablePressure = new TablePressure(overloadSettings, ranks.count());
+        heldCallLimit = new HeldCallLimit(settings.limits().calls());
     }
 
     /** Starts monitoring. Must be called on the event loop's thread. */
@@ -86,17 +86,17 @@
         JvmMonitor.Sample sample = jvmMonitor.latestSample();
         if (sample.collections() != collectionsSeen) {
             collectionsSeen = sample.collections();
-            memoryWatch.recordCollection(now, sample.heapShare());
+            memoryMonitor.recordCollection(now, sample.heapShare());
         }
-        long taken = router.counters().received;
-        load.recordCpuSample(sample.loopCpuMs() - previousLoopCpuMs, (int) (taken - previousTaken));
+        long received = router.counters().received;
+        load.recordCpuSample(sample.loopCpuMs() - previousLoopCpuMs, (int) (received - previousReceived));
         previousLoopCpuMs = sample.loopCpuMs();
-        previousTaken = taken;
-        cacheShare = memoryWatch.cacheShare(now);
+        previousReceived = received;
+        cacheShare = memoryMonitor.cacheShare(now);
         cache.room(cacheShare);
         resourcePressure = Math.max(
-                memoryWatch.pressure(ranks.count()),
-                tables.pressure(
+                memoryMonitor.pressure(ranks.count()),
+                tablePressure.pressure(
                         router.openCalls() / (double) settings.limits().calls(),
                         resolver.out() / (double) settings.limits().lookups(),
                         sample.openFileShare()));
@@ -142,7 +142,7 @@
 
     /** Records that the decision module took {@code ms} milliseconds for a batch of simultaneous events. */
     void recordBatch(double now, double durationMs) {
-        heldCalls.recordBatch(now, durationMs, router.unansweredCalls());
+        heldCallLimit.recordBatch(now, durationMs, router.unansweredCalls());
         // The module serves high-worth calls first, so a call only waits for held calls of its own rank and above.
         double[] pressure = new double[ranks.count()];
         for (int callClass = 0; callClass < settings.classes().size(); callClass++) {
@@ -151,7 +151,8 @@
         double unansweredFromRank = 0;
         for (int rank = ranks.count() - 1; rank >= 0; rank--) {
             unansweredFromRank += pressure[rank];
-            pressure[rank] = Math.max(resourcePressure, heldCalls.pressure((int) unansweredFromRank, ranks.count()));
+            pressure[rank] =
+                    Math.max(resourcePressure, heldCallLimit.pressure((int) unansweredFromRank, ranks.count()));
         }
         load.updatePressure(pressure);
         longestBatchMs = Math.max(longestBatchMs, durationMs);
@@ -180,8 +181,8 @@
         return new EnumMap<>(secondsByCause);
     }
 
-    double heldCapacity() {
-        return heldCalls.limit();
+    double heldCallLimit() {
+        return heldCallLimit.limit();
     }
 
     double cacheShare() {
--- a/src/main/java/damsonseam/front/StreamListener.java
+++ b/src/main/java/damsonseam/front/StreamListener.java
@@ -50,7 +50,7 @@
     private static final int SLOW_READER_TIMEOUT_MS = 5_000;
 
     private final CoreLoop loop;
-    private final EnumService service;
+    private final EnumService enumService;
     private final Router router;
     private final EnumService.Gate gate;
     private final int maxConnections;
@@ -60,9 +60,9 @@
 
     private Channel serverChannel;
 
-    StreamListener(CoreLoop loop, EnumService service, Router router, EnumService.Gate gate, int maxConnections) {
+    StreamListener(CoreLoop loop, EnumService enumService, Router router, EnumService.Gate gate, int maxConnections) {
         this.loop = loop;
-        this.service = service;
+        this.enumService = enumService;
         this.router = router;
         this.gate = gate;
         this.maxConnections = maxConnections;
@@ -138,7 +138,7 @@
             idleConnections.remove(ctx.channel());
             CallRecord[] opened = new CallRecord[1];
             boolean[] answered = new boolean[1];
-            opened[0] = service.question(
+            opened[0] = enumService.question(
                     loop.now(),
                     ctx.channel(),
                     true,
--- a/src/main/java/damsonseam/front/TrunkLink.java
+++ b/src/main/java/damsonseam/front/TrunkLink.java
@@ -169,8 +169,8 @@
                     }
                 })
                 .connect(damsonseam.config.Endpoint.parse(server.address()).toSocketAddress());
-        connecting.addListener(f -> {
-            if (!f.isSuccess()) {
+        connecting.addListener(connectResult -> {
+            if (!connectResult.isSuccess()) {
                 scheduleReconnect();
             }
         });
@@ -227,10 +227,10 @@
         }
 
         @Override
-        public void close(String why) {
+        public void close(String reason) {
             LOG.atWarn()
                     .addKeyValue("server", server.id())
-                    .addKeyValue("why", why)
+                    .addKeyValue("why", reason)
                     .addKeyValue("badMessages", badMessages)
                     .addKeyValue("confused", group.confused())
                     .log("signalling closed");
@@ -276,15 +276,15 @@
                 int attempt,
                 Result result,
                 Reason reason,
-                OptionalDouble toldWait,
+                OptionalDouble returnAdvice,
                 Report report) {
             if (closedLocally) {
                 loop.timers().schedule(now + settings.trunks().releaseWait().ms(), at -> {
-                    router.attemptEnded(at, call, attempt, result, reason, toldWait, report);
+                    router.attemptEnded(at, call, attempt, result, reason, returnAdvice, report);
                     loop.scheduleBatchEnd();
                 });
             } else {
-                router.attemptEnded(now, call, attempt, result, reason, toldWait, report);
+                router.attemptEnded(now, call, attempt, result, reason, returnAdvice, report);
             }
         }
 
