--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -1,7 +1,7 @@
 package damsonseam.config;
 
-import damsonseam.Front.CallClass;
-import damsonseam.Front.Settings;
+import damsonseam.RoutingPolicy.CallClass;
+import damsonseam.RoutingPolicy.PolicySettings;
 import damsonseam.core.NumberPlan;
 import damsonseam.dns.E164Name;
 import damsonseam.overload.OverloadSettings;
@@ -371,10 +371,10 @@
     public static final double ANSWER_SLACK_MS = 20;
 
     /** Returns the settings of the decision module. */
-    public Settings moduleSettings(long seed) {
+    public PolicySettings moduleSettings(long seed) {
         List<CallClass> callClasses = new ArrayList<>();
         classes.forEach(c -> callClasses.add(c.toCallClass()));
-        return new Settings(
+        return new PolicySettings(
                 seed,
                 OptionalInt.of(fleet.fronts()),
                 callClasses,
--- a/src/main/java/damsonseam/core/CallRecord.java
+++ b/src/main/java/damsonseam/core/CallRecord.java
@@ -1,6 +1,6 @@
 package damsonseam.core;
 
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy.AttemptStatus;
 
 /**
  * State machine of one call, from its arrival to its release. Phases advance in one direction only; {@code TRYING}
@@ -29,7 +29,7 @@
     private String server;
     private boolean attemptPending;
     private double sentAt;
-    private Result releaseOutcome;
+    private AttemptStatus releaseOutcome;
     private double releaseStartedAt;
     private TimerWheel.Timer deadlineTimer;
     private TimerWheel.Timer attemptTimer;
@@ -125,14 +125,14 @@
     }
 
     /** Starts the release of the pending attempt, which stays pending until the release is confirmed or times out. */
-    void startRelease(Result outcome, double now) {
+    void startRelease(AttemptStatus outcome, double now) {
         require(attemptPending && releaseOutcome == null, "no pending attempt to release");
         releaseOutcome = outcome;
         releaseStartedAt = now;
     }
 
     /** Returns the outcome of the attempt that is being released, or null if none is. */
-    Result releaseOutcome() {
+    AttemptStatus releaseOutcome() {
         return releaseOutcome;
     }
 
--- a/src/main/java/damsonseam/front/TrunkLink.java
+++ b/src/main/java/damsonseam/front/TrunkLink.java
@@ -1,8 +1,8 @@
 package damsonseam.front;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
 import damsonseam.config.FrontSettings;
 import damsonseam.core.CircuitAllocator;
 import damsonseam.core.Router;
@@ -260,12 +260,12 @@
 
         @Override
         public void probed(boolean answered, double delay) {
-            router.probeCompleted(loop.now(), server.id(), true, answered, delay, Report.NONE);
+            router.probeCompleted(loop.now(), server.id(), true, answered, delay, ServerLoadReport.NONE);
             loop.scheduleBatchEnd();
         }
 
         @Override
-        public void stands(double now, long call, int attempt, Report report) {
+        public void stands(double now, long call, int attempt, ServerLoadReport report) {
             router.callEstablished(now, call, attempt, report);
         }
 
@@ -274,10 +274,10 @@
                 double now,
                 long call,
                 int attempt,
-                Result result,
-                Reason reason,
+                AttemptStatus result,
+                RejectReason reason,
                 OptionalDouble returnAdvice,
-                Report report) {
+                ServerLoadReport report) {
             if (closedLocally) {
                 loop.timers().schedule(now + settings.trunks().releaseWait().ms(), at -> {
                     router.attemptEnded(at, call, attempt, result, reason, returnAdvice, report);
--- a/src/main/java/damsonseam/front/TrunkLinks.java
+++ b/src/main/java/damsonseam/front/TrunkLinks.java
@@ -1,9 +1,9 @@
 package damsonseam.front;
 
-import damsonseam.Front.Reason;
-import damsonseam.Front.Report;
-import damsonseam.Front.Result;
-import damsonseam.Front.State;
+import damsonseam.RoutingPolicy.AttemptStatus;
+import damsonseam.RoutingPolicy.RejectReason;
+import damsonseam.RoutingPolicy.ServerLoadReport;
+import damsonseam.RoutingPolicy.ServerState;
 import damsonseam.config.FrontSettings;
 import damsonseam.core.CallRecord;
 import damsonseam.core.Router;
@@ -25,8 +25,9 @@
     private static final int ORDINARY_SUBSCRIBER = 0x0a;
 
     private static final RouterPorts.SendFailure UNREACHABLE =
-            new RouterPorts.SendFailure(Result.UNREACHABLE, Reason.NONE);
-    private static final RouterPorts.SendFailure NO_LINE = new RouterPorts.SendFailure(Result.FULL, Reason.NO_LINE);
+            new RouterPorts.SendFailure(AttemptStatus.UNREACHABLE, RejectReason.NONE);
+    private static final RouterPorts.SendFailure NO_LINE =
+            new RouterPorts.SendFailure(AttemptStatus.FULL, RejectReason.NO_LINE);
 
     private final CoreLoop loop;
     private final FrontSettings settings;
@@ -88,7 +89,7 @@
         if (link != null && link.isUsable()) {
             link.probe(now);
         } else {
-            loop.timers().schedule(now, at -> router.probeCompleted(at, server, true, false, 0, Report.NONE));
+            loop.timers().schedule(now, at -> router.probeCompleted(at, server, true, false, 0, ServerLoadReport.NONE));
         }
     }
 
@@ -101,7 +102,7 @@
     boolean isReady() {
         return !links.isEmpty()
                 && router.serverList().servers().stream()
-                        .filter(s -> s.state() == State.RUNNING)
+                        .filter(s -> s.state() == ServerState.RUNNING)
                         .allMatch(s ->
                                 links.containsKey(s.id()) && links.get(s.id()).isUsable());
     }
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -1,8 +1,8 @@
 package damsonseam.node;
 
-import damsonseam.Decide;
-import damsonseam.Front.CallClass;
-import damsonseam.Front.Settings;
+import damsonseam.CongestionControlPolicy;
+import damsonseam.RoutingPolicy.CallClass;
+import damsonseam.RoutingPolicy.PolicySettings;
 import damsonseam.core.CallTable;
 import damsonseam.core.CallTracer;
 import damsonseam.core.Counters;
@@ -70,7 +70,7 @@
         loop = new CoreLoop((EventLoop) group.next(), TICK_MS);
         pendingReleases = new PendingReleases(loop);
         callRegistry = new CallRegistry(pendingReleases);
-        Settings moduleSettings = config.settings().moduleSettings(config.seed());
+        PolicySettings moduleSettings = config.settings().moduleSettings(config.seed());
         classes = moduleSettings.classes();
         InviteParser inviteParser = new InviteParser(config.settings());
         int maxServerConnections = Math.min(MAX_SERVER_CONNECTIONS, config.maxSockets() / SERVER_DESCRIPTOR_DIVISOR);
@@ -96,7 +96,7 @@
                 config.memoryMb() > 0 ? config.memoryMb() * CALLS_PER_MB : DEFAULT_MAX_OPEN_CALLS);
         router = new Router(
                 new RouterSettings(moduleSettings, maxOpenCalls, TICK_MS, RELEASE_WRITE_TIMEOUT_MS, ANSWER_MARGIN_MS),
-                actions -> new Decide(moduleSettings, actions),
+                actions -> new CongestionControlPolicy(moduleSettings, actions),
                 new CallTable(maxOpenCalls, System.currentTimeMillis() / 1000),
                 loop.timers(),
                 (call, number, deadline) -> {
