--- a/src/main/java/damsonseam/bench/MemoryBench.java
+++ b/src/main/java/damsonseam/bench/MemoryBench.java
@@ -18,7 +18,7 @@
 import damsonseam.core.RouterSettings;
 import damsonseam.core.ServerList;
 import damsonseam.core.TimerWheel;
-import damsonseam.ss7.Isup;
+import damsonseam.ss7.IsupMessage;
 import damsonseam.ss7.TrunkGroup;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -116,24 +116,27 @@
                         new TrunkGroup(
                                 new CircuitAllocator(CircuitAllocator.MAX_CIRCUITS, true),
                                 timers,
-                                TrunkGroup.Times.Q764,
+                                TrunkGroup.TimerValues.Q764,
                                 1,
                                 new TrunkGroup.Output() {
                                     @Override
-                                    public void send(Isup message) {
-                                        if (message.type() == Isup.Type.IAM) {
+                                    public void send(IsupMessage message) {
+                                        if (message.type() == IsupMessage.Type.IAM) {
                                             answers.add(() -> groups.get(id)
-                                                    .received(0, Isup.of(message.circuit(), Isup.Type.ANM)));
+                                                    .onMessage(
+                                                            0,
+                                                            IsupMessage.of(message.circuit(), IsupMessage.Type.ANM)));
                                         }
                                     }
 
                                     @Override
-                                    public void stands(double now, long call, int attempt, ServerLoadReport report) {
+                                    public void onAnswered(
+                                            double now, long call, int attempt, ServerLoadReport report) {
                                         router.callEstablished(now, call, attempt, report);
                                     }
 
                                     @Override
-                                    public void ended(
+                                    public void onOutcome(
                                             double now,
                                             long call,
                                             int attempt,
@@ -145,11 +148,11 @@
                                     }
 
                                     @Override
-                                    public void released(double now, long call, int attempt) {
+                                    public void onReleaseComplete(double now, long call, int attempt) {
                                         router.releaseConfirmed(now, call, attempt);
                                     }
                                 }));
-                groups.get(id).connectionUp(0);
+                groups.get(id).onConnectionUp(0);
             }
         }
 
@@ -169,7 +172,7 @@
 
         @Override
         public double sendRelease(double now, String server, long call, int attempt, boolean timedOut) {
-            groups.get(server).release(now, call, attempt, Isup.NORMAL_CLEARING);
+            groups.get(server).release(now, call, attempt, IsupMessage.NORMAL_CLEARING);
             return now;
         }
 
--- a/src/main/java/damsonseam/cli/BadDayCommand.java
+++ b/src/main/java/damsonseam/cli/BadDayCommand.java
@@ -5,8 +5,8 @@
 import damsonseam.audit.CallStory;
 import damsonseam.config.TimeSpan;
 import damsonseam.config.Yaml;
-import damsonseam.day.Day;
-import damsonseam.day.DaySearch;
+import damsonseam.day.ScenarioRun;
+import damsonseam.day.ScenarioSearch;
 import damsonseam.standin.Scenario;
 import java.io.IOException;
 import java.io.InputStream;
@@ -46,7 +46,7 @@
             names = "--decider",
             defaultValue = "MODULE",
             description = "MODULE, or RANDOM as a baseline (default: ${DEFAULT-VALUE}).")
-    private Day.Decider decider;
+    private ScenarioRun.Decider decider;
 
     @Option(
             names = "--runs",
@@ -79,12 +79,12 @@
         if (runs == 1) {
             return play(scenario, out).audit().violations() == 0 ? RootCommand.EXIT_OK : RootCommand.EXIT_FAILED;
         }
-        DaySearch search = new DaySearch(scenario);
+        ScenarioSearch search = new ScenarioSearch(scenario);
         for (int i = 0; i < runs; i++) {
             Scenario nextScenario = search.next();
             Path runFolder = out.resolve("day-" + i);
-            Day.Result result = play(nextScenario, runFolder);
-            search.played(nextScenario, result.audit());
+            ScenarioRun.Result result = play(nextScenario, runFolder);
+            search.recordResult(nextScenario, result.audit());
             if (result.audit().violations() > 0) {
                 Map<String, Object> finding = new LinkedHashMap<>();
                 finding.put("broken", result.audit().findings().get(0));
@@ -100,7 +100,7 @@
             // A run that broke no rule is covered by its report; its wire logs are some hundred megabytes.
             deleteWire(runFolder);
         }
-        System.out.println("{\"days\":" + runs + ",\"violations\":0,\"leastLeftMs\":" + search.leastLeft() + "}");
+        System.out.println("{\"days\":" + runs + ",\"violations\":0,\"leastLeftMs\":" + search.minTimeLeftMs() + "}");
         return RootCommand.EXIT_OK;
     }
 
@@ -112,9 +112,9 @@
         }
     }
 
-    private Day.Result play(Scenario scenario, Path folder) throws Exception {
+    private ScenarioRun.Result play(Scenario scenario, Path folder) throws Exception {
         Files.createDirectories(folder);
-        Day.Result result = Day.run(scenario, decider, folder, true);
+        ScenarioRun.Result result = ScenarioRun.run(scenario, decider, folder, true);
         Map<String, Object> report = report(scenario, result);
         ObjectMapper json = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
         json.writeValue(folder.resolve("report.json").toFile(), report);
@@ -123,7 +123,7 @@
         return result;
     }
 
-    private Map<String, Object> report(Scenario scenario, Day.Result result) {
+    private Map<String, Object> report(Scenario scenario, ScenarioRun.Result result) {
         Map<String, Object> report = new LinkedHashMap<>();
         report.put("scenario", scenario.name());
         report.put("decider", decider.toString().toLowerCase(java.util.Locale.ROOT));
@@ -138,10 +138,10 @@
         report.put("notTaken", result.audit().notTaken());
         report.put("overtaken", result.audit().overtaken());
         report.put("firstTries", result.totals().calls);
-        report.put("cut", result.totals().cut);
+        report.put("cut", result.totals().dropped);
         report.put("setUps", result.audit().setUps());
-        report.put("service", Math.round(result.totals().service() * 10_000) / 10_000.0);
-        report.put("fallen", result.fallen());
+        report.put("service", Math.round(result.totals().earnedShare() * 10_000) / 10_000.0);
+        report.put("fallen", result.collapsedCalculators());
         report.put("longestPauseMs", Math.round(result.longestPauseMs()));
         report.put("violations", result.audit().violations());
         report.put("perRule", result.audit().perRule());
--- a/src/main/java/damsonseam/cli/DemoCommand.java
+++ b/src/main/java/damsonseam/cli/DemoCommand.java
@@ -4,7 +4,7 @@
 import damsonseam.config.Endpoint;
 import damsonseam.front.FrontServer;
 import damsonseam.standin.Scenario;
-import damsonseam.standin.Surroundings;
+import damsonseam.standin.SimulatedPeers;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.Callable;
@@ -42,7 +42,7 @@
         OptionChecks.checkRange("--calculators", calculators, 1, 99);
         Scenario scenario = new Scenario(
                 "demo", null, null, 1, new Scenario.Calculators(calculators, null), null, null, null, null);
-        try (Surroundings surroundings = new Surroundings(scenario, null);
+        try (SimulatedPeers surroundings = new SimulatedPeers(scenario, null);
                 FrontServer front =
                         FrontServer.start(surroundings.frontSettings(0, new Endpoint("127.0.0.1", port)), true)) {
             if (!front.awaitReady(READY_TIMEOUT_MS)) {
@@ -51,7 +51,7 @@
             }
             Map<String, Object> ready = new LinkedHashMap<>();
             ready.put("enum", "127.0.0.1:" + front.enumAddress().getPort());
-            ready.put("suffix", Surroundings.SUFFIX);
+            ready.put("suffix", SimulatedPeers.SUFFIX);
             ready.put("number", surroundings.exampleNumber());
             ready.put(
                     "authorities",
--- a/src/main/java/damsonseam/cli/StandinCommand.java
+++ b/src/main/java/damsonseam/cli/StandinCommand.java
@@ -155,8 +155,8 @@
             int serverIndex = 0;
             for (Map.Entry<String, String> server : servers.entrySet()) {
                 String address = Endpoint.parse(server.getValue()).toString();
-                directory.setNow(
-                        new DirectoryServer.Listed(
+                directory.updateNow(
+                        new DirectoryServer.CalculatorEntry(
                                 server.getKey(), serverIndex, address, FIRST_POINT_CODE + serverIndex),
                         State.RUNNING);
                 serverIndex++;
--- a/src/main/java/damsonseam/front/DatagramIntake.java
+++ b/src/main/java/damsonseam/front/DatagramIntake.java
@@ -4,10 +4,10 @@
 import damsonseam.core.NumberPlan;
 import damsonseam.core.QueueAgeEstimator;
 import damsonseam.dns.DnsCodec;
-import damsonseam.dns.EnumReplies;
+import damsonseam.dns.EnumResponses;
 import damsonseam.dns.EnumService;
-import damsonseam.dns.PlainQuestion;
-import damsonseam.dns.PlainReply;
+import damsonseam.dns.FastPathQuery;
+import damsonseam.dns.FastPathResponse;
 import damsonseam.loop.CoreLoop;
 import damsonseam.overload.AdmissionController;
 import damsonseam.overload.DecisionCache;
@@ -64,7 +64,7 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop intakeLoop = (EventLoop) group.next();
     private final CoreLoop loop;
-    private final PlainQuestion.Suffix suffix;
+    private final FastPathQuery.WireSuffix suffix;
     private final NumberPlan numberPlan;
     private final WorthRanks ranks;
     private final AdmissionController admission;
@@ -118,7 +118,7 @@
     DatagramIntake(
             CoreLoop loop,
             FrontSettings settings,
-            PlainQuestion.Suffix suffix,
+            FastPathQuery.WireSuffix suffix,
             NumberPlan plan,
             AdmissionController admission,
             FrontLoadState load,
@@ -274,14 +274,14 @@
     private void handleQuestion(ChannelHandlerContext ctx, InetSocketAddress from, byte[] message) {
         double now = loop.now();
         counters.questionsRead++;
-        PlainQuestion plainQuestion = PlainQuestion.read(message, suffix);
+        FastPathQuery plainQuestion = FastPathQuery.parse(message, suffix);
         NumberPlan.Entry entry = plainQuestion == null ? null : numberPlan.find(plainQuestion.number());
         if (entry == null) {
             counters.slowPath++;
             if (!enqueue(0, new QuestionQueue.QueuedQuestion(from, null, null, message, now, queueAge.maxAge(now)))
-                    && message.length >= DnsCodec.HEADER
-                    && !DnsCodec.isAnswer(message)) {
-                writeAnswer(ctx, from, EnumReplies.refused(message));
+                    && message.length >= DnsCodec.HEADER_BYTES
+                    && !DnsCodec.isResponse(message)) {
+                writeAnswer(ctx, from, EnumResponses.headerOnlyRefusal(message));
             }
             return;
         }
@@ -302,8 +302,8 @@
             return;
         }
         counters.offered[rank]++;
-        double patienceMs = plainQuestion.hints().time() > 0
-                ? Math.min(plainQuestion.hints().time(), entry.patience())
+        double patienceMs = plainQuestion.callOption().timeMs() > 0
+                ? Math.min(plainQuestion.callOption().timeMs(), entry.patience())
                 : entry.patience();
         if (queued.socketAgeMs() > patienceMs - returnPathMs - FrontSettings.ANSWER_SLACK_MS) {
             // The caller has given up or will have before an answer can arrive: fail at once, without a set-up.
@@ -327,13 +327,15 @@
     }
 
     private void refuse(ChannelHandlerContext ctx, QuestionQueue.QueuedQuestion question, long adviceMs) {
-        PlainQuestion plainQuestion = question.plain();
+        FastPathQuery plainQuestion = question.plain();
         writeAnswer(
                 ctx,
                 question.sender(),
                 adviceMs == EXPIRED
-                        ? PlainReply.failed(plainQuestion, "waited unread too long", plainQuestion.limit())
-                        : PlainReply.refused(plainQuestion, adviceMs, EnumService.BUSY, plainQuestion.limit()));
+                        ? FastPathResponse.encodeFailed(
+                                plainQuestion, "waited unread too long", plainQuestion.maxResponseBytes())
+                        : FastPathResponse.encodeRefused(
+                                plainQuestion, adviceMs, EnumService.FRONT_BUSY, plainQuestion.maxResponseBytes()));
     }
 
     private static void writeAnswer(ChannelHandlerContext ctx, InetSocketAddress to, byte[] message) {
--- a/src/main/java/damsonseam/front/DnsListener.java
+++ b/src/main/java/damsonseam/front/DnsListener.java
@@ -4,7 +4,7 @@
 import damsonseam.core.NumberPlan;
 import damsonseam.core.Router;
 import damsonseam.dns.EnumService;
-import damsonseam.dns.PlainQuestion;
+import damsonseam.dns.FastPathQuery;
 import damsonseam.loop.CoreLoop;
 import damsonseam.overload.AdmissionController;
 import damsonseam.overload.HeavySenderDetector;
@@ -28,7 +28,7 @@
     private final CoreLoop loop;
     private final EnumService enumService;
     private final Router router;
-    private final EnumService.Gate streamGate;
+    private final EnumService.AdmissionControl streamGate;
     private final QuestionQueue queue;
     private final FrontLoadState load;
     private final DatagramIntake intake;
@@ -43,7 +43,7 @@
             Router router,
             FrontSettings settings,
             NumberPlan plan,
-            PlainQuestion.Suffix suffix,
+            FastPathQuery.WireSuffix suffix,
             Supplier<AdmissionController> admission) {
         this.loop = loop;
         this.enumService = service;
@@ -127,11 +127,11 @@
     private void handle(QuestionQueue.QueuedQuestion queued) {
         double now = loop.now();
         double ageMs = now - queued.readAtMs() + queued.socketAgeMs();
-        EnumService.ReplyTo reply = answer -> intake.sendAnswer(queued.sender(), answer);
+        EnumService.ResponseSender reply = answer -> intake.sendAnswer(queued.sender(), answer);
         if (queued.plain() != null) {
-            enumService.question(now, queued.sender(), ageMs, queued.plain(), queued.entry(), reply);
+            enumService.handleQuery(now, queued.sender(), ageMs, queued.plain(), queued.entry(), reply);
         } else {
-            enumService.question(now, queued.sender(), false, ageMs, queued.message(), streamGate, reply);
+            enumService.handleQuery(now, queued.sender(), false, ageMs, queued.message(), streamGate, reply);
         }
     }
 
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -10,13 +10,13 @@
 import damsonseam.core.NumberPlan;
 import damsonseam.core.Router;
 import damsonseam.core.RouterSettings;
-import damsonseam.dns.Authorities;
+import damsonseam.dns.AuthoritySelector;
 import damsonseam.dns.E164Name;
 import damsonseam.dns.EnumService;
+import damsonseam.dns.FastPathQuery;
 import damsonseam.dns.LookupCache;
-import damsonseam.dns.PlainQuestion;
 import damsonseam.dns.Resolver;
-import damsonseam.dns.Transactions;
+import damsonseam.dns.TransactionTable;
 import damsonseam.loop.CallLog;
 import damsonseam.loop.CoreLoop;
 import damsonseam.overload.AdmissionController;
@@ -94,16 +94,16 @@
         resolverSockets =
                 new ResolverSockets(loop, authorities, settings.upstream().sockets());
         FrontSettings.Limits limits = settings.limits();
-        Name suffix = E164Name.suffix(settings.enumSettings().suffix());
+        Name suffix = E164Name.parseSuffix(settings.enumSettings().suffix());
         Name zone = settings.upstream().suffix() == null
                 ? suffix
-                : E164Name.suffix(settings.upstream().suffix());
+                : E164Name.parseSuffix(settings.upstream().suffix());
         LookupCache cache =
                 new LookupCache(limits.numbers(), settings.upstream().staleFor().ms());
         resolver = new Resolver(
                 zone,
                 cache,
-                new Authorities(authorities.size()),
+                new AuthoritySelector(authorities.size()),
                 loop.timers(),
                 new SecureRandom().nextLong(),
                 new Resolver.Limits(
@@ -123,7 +123,7 @@
                 new CallTable(limits.calls(), System.currentTimeMillis() / 1000),
                 loop.timers(),
                 (call, number, deadline) -> {
-                    resolver.clock(loop.now());
+                    resolver.advanceClock(loop.now());
                     resolver.lookUp(call, number, deadline);
                 },
                 trunks,
@@ -134,12 +134,18 @@
                 suffix,
                 plan,
                 router,
-                new Transactions(
+                new TransactionTable(
                         limits.questions(),
                         settings.enumSettings().keepAnswers().ms()),
                 settings.enumSettings().wayBack().ms());
         dnsListener = new DnsListener(
-                loop, enumService, router, settings, plan, new PlainQuestion.Suffix(suffix), components.admission());
+                loop,
+                enumService,
+                router,
+                settings,
+                plan,
+                new FastPathQuery.WireSuffix(suffix),
+                components.admission());
         selfMonitor = new SelfMonitor(settings, router, resolver, cache, dnsListener.load());
     }
 
@@ -176,7 +182,7 @@
                         dnsListener.intake().flushAnswers();
                     },
                     () -> {
-                        resolver.deliver(loop.now());
+                        resolver.deliverKnownResults(loop.now());
                         double batchStart = loop.now();
                         router.endBatch(batchStart);
                         selfMonitor.recordBatch(batchStart, loop.now() - batchStart);
--- a/src/main/java/damsonseam/front/StreamListener.java
+++ b/src/main/java/damsonseam/front/StreamListener.java
@@ -52,7 +52,7 @@
     private final CoreLoop loop;
     private final EnumService enumService;
     private final Router router;
-    private final EnumService.Gate gate;
+    private final EnumService.AdmissionControl gate;
     private final int maxConnections;
     private final Set<Channel> connections = new LinkedHashSet<>();
     /** Connections without an open question, longest idle first. */
@@ -60,7 +60,12 @@
 
     private Channel serverChannel;
 
-    StreamListener(CoreLoop loop, EnumService enumService, Router router, EnumService.Gate gate, int maxConnections) {
+    StreamListener(
+            CoreLoop loop,
+            EnumService enumService,
+            Router router,
+            EnumService.AdmissionControl gate,
+            int maxConnections) {
         this.loop = loop;
         this.enumService = enumService;
         this.router = router;
@@ -138,7 +143,7 @@
             idleConnections.remove(ctx.channel());
             CallRecord[] opened = new CallRecord[1];
             boolean[] answered = new boolean[1];
-            opened[0] = enumService.question(
+            opened[0] = enumService.handleQuery(
                     loop.now(),
                     ctx.channel(),
                     true,
--- a/src/main/java/damsonseam/standin/DnsAuthority.java
+++ b/src/main/java/damsonseam/standin/DnsAuthority.java
@@ -44,19 +44,19 @@
     private static final int LENGTH_OCTETS = 2;
 
     /** How it answers now. */
-    public enum Mood {
+    public enum ResponseMode {
         /** As it should. */
-        WELL,
+        NORMAL,
         /** Not at all. */
         SILENT,
         /** That it does not serve the zone. */
         LAME,
         /** Over UDP only that the answer does not fit. */
-        TRUNCATING,
+        TRUNCATED,
         /** First with a wrong id, then with a wrong question, then as it should. */
         FORGED,
         /** With octets that are no message. */
-        GARBAGE
+        MALFORMED
     }
 
     private final Name suffix;
@@ -64,8 +64,8 @@
     private final EventLoop loop;
     private final long ttl;
     private final SplittableRandom random = new SplittableRandom(1);
-    private final AtomicLong questions = new AtomicLong();
-    private volatile Mood mood = Mood.WELL;
+    private final AtomicLong queryCount = new AtomicLong();
+    private volatile ResponseMode responseMode = ResponseMode.NORMAL;
     private volatile long delayMs;
     private volatile double loss;
     private Channel udp;
@@ -78,7 +78,7 @@
      * @param ttl lifetime of its records in seconds
      */
     public DnsAuthority(String suffix, Function<String, List<String>> hosts, long ttl, EventLoop loop) {
-        this.suffix = E164Name.suffix(suffix);
+        this.suffix = E164Name.parseSuffix(suffix);
         this.hosts = hosts;
         this.ttl = ttl;
         this.loop = loop;
@@ -138,28 +138,28 @@
     }
 
     /** Changes how it answers. */
-    public void mood(Mood to) {
-        mood = to;
+    public void setResponseMode(ResponseMode to) {
+        responseMode = to;
     }
 
     /** Answers come so much later. */
-    public void delay(long ms) {
+    public void setDelay(long ms) {
         delayMs = ms;
     }
 
     /** So great a share of its answers is lost. */
-    public void lose(double share) {
+    public void setLossShare(double share) {
         loss = share;
     }
 
     /** Questions that came. */
-    public long questions() {
-        return questions.get();
+    public long queryCount() {
+        return queryCount.get();
     }
 
     private void answer(byte[] octets, boolean stream, Consumer<byte[]> to) {
-        questions.incrementAndGet();
-        if (mood == Mood.SILENT || random.nextDouble() < loss) {
+        queryCount.incrementAndGet();
+        if (responseMode == ResponseMode.SILENT || random.nextDouble() < loss) {
             return;
         }
         Message query;
@@ -180,14 +180,14 @@
     }
 
     private void send(Message query, boolean stream, Consumer<byte[]> to) {
-        switch (mood) {
+        switch (responseMode) {
             case LAME -> {
                 Message reply = start(query);
                 reply.getHeader().unsetFlag(Flags.AA);
                 reply.getHeader().setRcode(Rcode.REFUSED);
                 to.accept(reply.toWire());
             }
-            case TRUNCATING -> {
+            case TRUNCATED -> {
                 Message reply = stream ? full(query) : start(query);
                 if (!stream) {
                     reply.getHeader().setFlag(Flags.TC);
@@ -207,14 +207,14 @@
                 to.accept(wrongName.toWire());
                 to.accept(full(query).toWire());
             }
-            case GARBAGE -> {
+            case MALFORMED -> {
                 byte[] garbage = new byte[40];
                 garbage[0] = (byte) (query.getHeader().getID() >> 8);
                 garbage[1] = (byte) query.getHeader().getID();
                 garbage[5] = 9;
                 to.accept(garbage);
             }
-            default -> to.accept(full(query).toWire(stream ? Message.MAXLENGTH : DnsCodec.SAFE_UDP));
+            default -> to.accept(full(query).toWire(stream ? Message.MAXLENGTH : DnsCodec.MAX_UDP_RESPONSE_BYTES));
         }
     }
 
@@ -229,7 +229,7 @@
     private Message full(Message query) {
         Message reply = start(query);
         Name asked = query.getQuestion().getName();
-        String number = asked.subdomain(suffix) ? E164Name.number(asked, suffix) : null;
+        String number = asked.subdomain(suffix) ? E164Name.toNumber(asked, suffix) : null;
         List<String> found = number == null ? List.of() : hosts.apply(number);
         if (found.isEmpty()) {
             reply.getHeader().setRcode(Rcode.NXDOMAIN);
--- a/src/test/java/damsonseam/CodecFuzzTest.java
+++ b/src/test/java/damsonseam/CodecFuzzTest.java
@@ -1,17 +1,17 @@
 package damsonseam;
 
 import com.code_intelligence.jazzer.junit.FuzzTest;
-import damsonseam.dns.CallHints;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.DnsFormatException;
+import damsonseam.dns.EdnsCallOption;
 import damsonseam.dns.NaptrRules;
-import damsonseam.ss7.Digits;
-import damsonseam.ss7.Isup;
+import damsonseam.ss7.CalledPartyNumber;
+import damsonseam.ss7.IsupMessage;
 import damsonseam.ss7.IsupMessages;
-import damsonseam.ss7.LoadReport;
-import damsonseam.ss7.M3ua;
+import damsonseam.ss7.LoadReportParameter;
+import damsonseam.ss7.M3uaMessage;
 import damsonseam.ss7.ProtocolData;
-import damsonseam.ss7.SignallingException;
+import damsonseam.ss7.SignallingProtocolException;
 import java.util.Arrays;
 import java.util.List;
 import org.xbill.DNS.NAPTRRecord;
@@ -19,60 +19,61 @@
 import org.xbill.DNS.Section;
 
 /**
- * Coverage-guided fuzzing of each codec: nothing but its own error may come out, and what was read reads back the
- * same. In CI each runs on its seeds only; {@code bench/fuzz} lets each search for a minute.
+ * Coverage-guided fuzzing of each codec: malformed input may raise only the codec's own exception, and a decoded
+ * message must survive encoding and decoding again. In CI each test runs on its seeds only; {@code bench/fuzz} lets
+ * each search for one minute.
  */
 class CodecFuzzTest {
 
     @FuzzTest(maxDuration = "1m")
-    void m3ua(byte[] octets) {
+    void m3ua(byte[] bytes) {
         try {
-            M3ua message = M3ua.decode(octets);
-            M3ua again = M3ua.decode(message.encode());
-            if (again.kind() != message.kind()
-                    || again.parameters().size() != message.parameters().size()) {
-                throw new IllegalStateException("reads back otherwise");
+            M3uaMessage message = M3uaMessage.decode(bytes);
+            M3uaMessage reread = M3uaMessage.decode(message.encode());
+            if (reread.kind() != message.kind()
+                    || reread.parameters().size() != message.parameters().size()) {
+                throw new IllegalStateException("message differs after encoding and decoding");
             }
-            isup(ProtocolData.of(message).isup());
-        } catch (SignallingException e) {
-            // The codec's own word.
+            isup(ProtocolData.from(message).isup());
+        } catch (SignallingProtocolException e) {
+            // The codec rejects the input.
         }
     }
 
     @FuzzTest(maxDuration = "1m")
-    void isup(byte[] octets) {
+    void isup(byte[] bytes) {
         try {
-            Isup message = Isup.decode(octets);
-            byte[] written = message.encode();
-            if (!Arrays.equals(written, Isup.decode(written).encode())) {
-                throw new IllegalStateException("reads back otherwise");
+            IsupMessage message = IsupMessage.decode(bytes);
+            byte[] encoded = message.encode();
+            if (!Arrays.equals(encoded, IsupMessage.decode(encoded).encode())) {
+                throw new IllegalStateException("message differs after encoding and decoding");
             }
             IsupMessages.cause(message);
             IsupMessages.congestionLevel(message);
             IsupMessages.callReference(message);
-            LoadReport.decode(message);
-            if (message.value(Isup.CALLED_NUMBER) != null) {
-                Digits.decode(message.value(Isup.CALLED_NUMBER));
+            LoadReportParameter.decode(message);
+            if (message.parameterValue(IsupMessage.CALLED_PARTY_NUMBER) != null) {
+                CalledPartyNumber.decode(message.parameterValue(IsupMessage.CALLED_PARTY_NUMBER));
             }
-        } catch (SignallingException e) {
-            // The codec's own word.
+        } catch (SignallingProtocolException e) {
+            // The codec rejects the input.
         }
     }
 
     @FuzzTest(maxDuration = "1m")
-    void dns(byte[] octets) {
+    void dns(byte[] bytes) {
         try {
-            var message = DnsCodec.decode(octets);
-            CallHints.of(message.getOPT());
+            var message = DnsCodec.decode(bytes);
+            EdnsCallOption.from(message.getOPT());
             List<Record> answers = message.getSection(Section.ANSWER);
-            NaptrRules.servers(
+            NaptrRules.serverHosts(
                     "59821000000001",
                     answers.stream()
                             .filter(r -> r instanceof NAPTRRecord)
                             .map(r -> (NAPTRRecord) r)
                             .toList());
         } catch (DnsFormatException e) {
-            // The codec's own word.
+            // The codec rejects the input.
         }
     }
 }
--- a/src/test/java/damsonseam/front/FrontOverloadTest.java
+++ b/src/test/java/damsonseam/front/FrontOverloadTest.java
@@ -7,16 +7,16 @@
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.config.TimeSpan;
-import damsonseam.dns.CallHints;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.E164Name;
+import damsonseam.dns.EdnsCallOption;
 import damsonseam.load.Load;
 import damsonseam.load.LoadPlan;
 import damsonseam.load.LoadResult;
 import damsonseam.load.Profile;
 import damsonseam.standin.CalculatorSettings;
 import damsonseam.standin.Scenario;
-import damsonseam.standin.Surroundings;
+import damsonseam.standin.SimulatedPeers;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.net.DatagramPacket;
@@ -43,14 +43,14 @@
  */
 class FrontOverloadTest {
     private static final int MAX_CONNECTIONS = 3;
-    private Surroundings surroundings;
+    private SimulatedPeers surroundings;
     private FrontServer front;
 
     @BeforeEach
     void start() throws Exception {
         CalculatorSettings fastCalculators =
                 new CalculatorSettings(2_000.0, null, null, null, null, 20_000, null, null, null, null, null);
-        surroundings = new Surroundings(
+        surroundings = new SimulatedPeers(
                 new Scenario(
                         "test",
                         null,
@@ -88,10 +88,11 @@
     private static Message question(int id, String number) {
         Message query = new Message(id);
         query.addRecord(
-                Record.newRecord(E164Name.of(number, E164Name.suffix(Surroundings.SUFFIX)), Type.NAPTR, DClass.IN),
+                Record.newRecord(
+                        E164Name.toName(number, E164Name.parseSuffix(SimulatedPeers.SUFFIX)), Type.NAPTR, DClass.IN),
                 Section.QUESTION);
         query.addRecord(
-                new OPTRecord(1232, 0, 0, 0, List.of(new CallHints(false, 2_100).option())), Section.ADDITIONAL);
+                new OPTRecord(1232, 0, 0, 0, List.of(new EdnsCallOption(false, 2_100).toOption())), Section.ADDITIONAL);
         return query;
     }
 
@@ -130,7 +131,7 @@
             int refusedHighWorth = 0;
             while (answers.size() < 2 * callsPerClass) {
                 byte[] answer = receive(socket);
-                int id = DnsCodec.id(answer);
+                int id = DnsCodec.messageId(answer);
                 assertTrue(answers.put(id, answer) == null, "a second answer for " + id);
                 boolean refused = DnsCodec.decode(answer).getRcode() == Rcode.REFUSED;
                 refusedLowWorth += refused && id % 2 == 0 ? 1 : 0;
@@ -156,7 +157,7 @@
                 new LoadPlan.Kind("tasacion-firma", "59828", 1, 1_200, 2_200, 8, 0.25));
         LoadResult result = Load.run(new LoadPlan(
                 List.of(front.enumAddress()),
-                Surroundings.SUFFIX,
+                SimulatedPeers.SUFFIX,
                 kinds,
                 Profile.burst(200, 10, 1, 2),
                 3,
--- a/src/test/java/damsonseam/front/FrontServerTest.java
+++ b/src/test/java/damsonseam/front/FrontServerTest.java
@@ -7,14 +7,14 @@
 
 import damsonseam.config.Endpoint;
 import damsonseam.directory.wire.State;
-import damsonseam.dns.CallHints;
 import damsonseam.dns.DnsCodec;
 import damsonseam.dns.E164Name;
+import damsonseam.dns.EdnsCallOption;
 import damsonseam.dns.NaptrRules;
-import damsonseam.ss7.M3ua;
+import damsonseam.ss7.M3uaMessage;
 import damsonseam.standin.DnsAuthority;
 import damsonseam.standin.Scenario;
-import damsonseam.standin.Surroundings;
+import damsonseam.standin.SimulatedPeers;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.net.DatagramPacket;
@@ -45,7 +45,7 @@
  */
 class FrontServerTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
-    private Surroundings surroundings;
+    private SimulatedPeers surroundings;
     private FrontServer front;
     private int nextId = 1;
 
@@ -61,7 +61,7 @@
                 new Scenario.Directory(damsonseam.config.TimeSpan.ms(0), null),
                 null,
                 null);
-        surroundings = new Surroundings(scenario, null);
+        surroundings = new SimulatedPeers(scenario, null);
         front = FrontServer.start(surroundings.frontSettings(0, new Endpoint("127.0.0.1", 0)), true);
         assertTrue(front.awaitReady(20_000));
     }
@@ -79,10 +79,11 @@
     private byte[] question(String number) {
         Message query = new Message(nextId++);
         query.addRecord(
-                Record.newRecord(E164Name.of(number, E164Name.suffix(Surroundings.SUFFIX)), Type.NAPTR, DClass.IN),
+                Record.newRecord(
+                        E164Name.toName(number, E164Name.parseSuffix(SimulatedPeers.SUFFIX)), Type.NAPTR, DClass.IN),
                 Section.QUESTION);
         query.addRecord(
-                new OPTRecord(1232, 0, 0, 0, List.of(new CallHints(false, 2_900).option())), Section.ADDITIONAL);
+                new OPTRecord(1232, 0, 0, 0, List.of(new EdnsCallOption(false, 2_900).toOption())), Section.ADDITIONAL);
         return query.toWire();
     }
 
@@ -107,7 +108,7 @@
                 .toList();
         return rules.isEmpty()
                 ? Rcode.string(answer.getRcode())
-                : NaptrRules.servers(number, rules).get(0);
+                : NaptrRules.serverHosts(number, rules).get(0);
     }
 
     private String call(int firstChoice, int sequence) throws Exception {
@@ -130,7 +131,7 @@
             Set<Integer> asked = new HashSet<>();
             for (int i = 0; i < 5; i++) {
                 byte[] question = question(number(i % 3, i));
-                asked.add(DnsCodec.id(question));
+                asked.add(DnsCodec.messageId(question));
                 out.writeShort(question.length);
                 // Part of a frame in one segment, the rest in a later one.
                 out.write(question, 0, 5);
@@ -142,7 +143,7 @@
             for (int i = 0; i < 5; i++) {
                 byte[] answer = new byte[in.readUnsignedShort()];
                 in.readFully(answer);
-                assertTrue(asked.remove(DnsCodec.id(answer)));
+                assertTrue(asked.remove(DnsCodec.messageId(answer)));
                 assertEquals(Rcode.NOERROR, DnsCodec.decode(answer).getRcode());
             }
         }
@@ -150,7 +151,7 @@
 
     @Test
     void closedTcpConnectionEndsItsOpenCalls() throws Exception {
-        surroundings.calculators().forEach(c -> c.freeze());
+        surroundings.calculators().forEach(c -> c.pause());
         try (Socket socket =
                 new Socket(front.enumAddress().getAddress(), front.enumAddress().getPort())) {
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
@@ -182,7 +183,7 @@
                 socket.getOutputStream().write(bytes);
             }
         }
-        byte[] badVersion = M3ua.of(M3ua.Kind.NTFY).encode();
+        byte[] badVersion = M3uaMessage.of(M3uaMessage.Kind.NTFY).encode();
         badVersion[3] = 9;
         surroundings.calculators().get(0).sendRaw(badVersion);
         assertNotEquals("", call(0, 1));
@@ -191,9 +192,9 @@
         byte[] noise = new byte[4_000];
         random.nextBytes(noise);
         surroundings.calculators().get(1).sendRaw(noise);
-        surroundings.authorities().forEach(a -> a.mood(DnsAuthority.Mood.GARBAGE));
+        surroundings.authorities().forEach(a -> a.setResponseMode(DnsAuthority.ResponseMode.MALFORMED));
         assertEquals("SERVFAIL", call(0, 9));
-        surroundings.authorities().forEach(a -> a.mood(DnsAuthority.Mood.WELL));
+        surroundings.authorities().forEach(a -> a.setResponseMode(DnsAuthority.ResponseMode.NORMAL));
         // Links that have lost their framing were closed and are re-established.
         await().atMost(TIMEOUT).until(() -> call(0, 10 + nextId).startsWith("calc-"));
     }
@@ -201,7 +202,7 @@
     @Test
     void drainingServerGetsNoMoreCalls() throws Exception {
         assertEquals("calc-00.example.org", call(0, 1));
-        surroundings.directory().set(surroundings.listed(0), State.DRAINING, false);
+        surroundings.directory().updateDelayed(surroundings.directoryEntry(0), State.DRAINING, false);
         await().atMost(TIMEOUT).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
         for (int i = 0; i < 5; i++) {
             assertNotEquals("calc-00.example.org", call(0, 100 + i));
@@ -211,10 +212,10 @@
     @Test
     void unavailableDestinationGetsNoCallsUntilItIsAvailable() throws Exception {
         assertEquals("calc-00.example.org", call(0, 1));
-        surroundings.calculators().get(0).tell(M3ua.Kind.DUNA, 0);
+        surroundings.calculators().get(0).sendDestinationState(M3uaMessage.Kind.DUNA, 0);
         await().atMost(TIMEOUT).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
-        surroundings.calculators().get(0).tell(M3ua.Kind.SCON, 2);
-        surroundings.calculators().get(0).tell(M3ua.Kind.DAVA, 0);
+        surroundings.calculators().get(0).sendDestinationState(M3uaMessage.Kind.SCON, 2);
+        surroundings.calculators().get(0).sendDestinationState(M3uaMessage.Kind.DAVA, 0);
         await().atMost(TIMEOUT).until(() -> call(0, 50 + nextId).equals("calc-00.example.org"));
     }
 
@@ -223,7 +224,7 @@
         surroundings.directory().crash();
         assertEquals("calc-00.example.org", call(0, 1));
         surroundings.directory().start(null);
-        surroundings.directory().setNow(surroundings.listed(0), State.GONE);
+        surroundings.directory().updateNow(surroundings.directoryEntry(0), State.GONE);
         await().atMost(TIMEOUT).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
     }
 
@@ -243,24 +244,25 @@
 
     @Test
     void callIsEstablishedWhileAuthoritiesFailInTurn() throws Exception {
-        surroundings.authorities().get(0).mood(DnsAuthority.Mood.LAME);
-        surroundings.authorities().get(1).mood(DnsAuthority.Mood.TRUNCATING);
+        surroundings.authorities().get(0).setResponseMode(DnsAuthority.ResponseMode.LAME);
+        surroundings.authorities().get(1).setResponseMode(DnsAuthority.ResponseMode.TRUNCATED);
         assertEquals("calc-01.example.org", call(1, 21));
-        surroundings.authorities().get(0).mood(DnsAuthority.Mood.SILENT);
-        surroundings.authorities().get(1).mood(DnsAuthority.Mood.FORGED);
+        surroundings.authorities().get(0).setResponseMode(DnsAuthority.ResponseMode.SILENT);
+        surroundings.authorities().get(1).setResponseMode(DnsAuthority.ResponseMode.FORGED);
         assertEquals("calc-01.example.org", call(1, 22));
     }
 
     @Test
     void drainAnswersOpenCallsBeforeItReturns() throws Exception {
-        surroundings.calculators().forEach(c -> c.slow(10));
+        surroundings.calculators().forEach(c -> c.setSlowdown(10));
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.setSoTimeout(10_000);
             byte[] question = question(number(0, 1));
             socket.send(new DatagramPacket(question, question.length, front.enumAddress()));
             await().atMost(TIMEOUT).until(() -> front.openCalls() == 1);
             front.drain();
-            assertEquals(DnsCodec.id(question), receive(socket).getHeader().getID());
+            assertEquals(
+                    DnsCodec.messageId(question), receive(socket).getHeader().getID());
         }
     }
 }
