--- a/src/main/java/damsonseam/cli/DemoCommand.java
+++ b/src/main/java/damsonseam/cli/DemoCommand.java
@@ -42,9 +42,8 @@
         OptionChecks.checkRange("--calculators", calculators, 1, 99);
         Scenario scenario = new Scenario(
                 "demo", null, null, 1, new Scenario.Calculators(calculators, null), null, null, null, null);
-        try (SimulatedPeers surroundings = new SimulatedPeers(scenario, null);
-                FrontServer front =
-                        FrontServer.start(surroundings.frontSettings(0, new Endpoint("127.0.0.1", port)), true)) {
+        try (SimulatedPeers peers = new SimulatedPeers(scenario, null);
+                FrontServer front = FrontServer.start(peers.frontSettings(0, new Endpoint("127.0.0.1", port)), true)) {
             if (!front.awaitReady(READY_TIMEOUT_MS)) {
                 System.err.println("damsonseam: the front was not ready within " + READY_TIMEOUT_MS + " ms");
                 return RootCommand.EXIT_FAILED;
@@ -52,16 +51,13 @@
             Map<String, Object> ready = new LinkedHashMap<>();
             ready.put("enum", "127.0.0.1:" + front.enumAddress().getPort());
             ready.put("suffix", SimulatedPeers.SUFFIX);
-            ready.put("number", surroundings.exampleNumber());
+            ready.put("number", peers.exampleNumber());
             ready.put(
                     "authorities",
-                    surroundings.authorityAddresses().stream()
-                            .map(Endpoint::toString)
-                            .toList());
-            ready.put("directory", surroundings.directoryAddress().toString());
+                    peers.authorityAddresses().stream().map(Endpoint::toString).toList());
+            ready.put("directory", peers.directoryAddress().toString());
             Map<String, String> signalling = new LinkedHashMap<>();
-            surroundings
-                    .calculators()
+            peers.calculators()
                     .forEach(c ->
                             signalling.put(c.id(), "127.0.0.1:" + c.address().getPort()));
             ready.put("calculators", signalling);
@@ -69,7 +65,7 @@
             System.out.flush();
             ShutdownSignal.awaitThenStop(seconds, () -> {
                 front.drain();
-                surroundings.close();
+                peers.close();
             });
         }
         return RootCommand.EXIT_OK;
--- a/src/main/java/damsonseam/front/DatagramIntake.java
+++ b/src/main/java/damsonseam/front/DatagramIntake.java
@@ -46,7 +46,7 @@
  * receive buffer would overflow, and the kernel drops datagrams regardless of their worth. Reading continuously and
  * refusing here costs a fraction of what a call costs, and the event loop never sees a refused query.
  *
- * <p>All state is confined to the intake thread, except for the question queue and {@link #sendAnswer}.
+ * <p>All state is confined to the intake thread, except for the query queue and {@link #sendAnswer}.
  */
 final class DatagramIntake {
     private static final Logger LOG = LoggerFactory.getLogger(DatagramIntake.class);
@@ -69,7 +69,7 @@
     private final WorthRanks ranks;
     private final AdmissionController admission;
     private final FrontLoadState load;
-    private final QuestionQueue queue;
+    private final QueryQueue queue;
     private final DecisionCache recentDecisions;
     private final double returnPathMs;
     private final long queueFullAdviceMs;
@@ -86,7 +86,7 @@
 
     /** Counters of the intake thread for reports. Other threads read them without synchronization. */
     static final class Counters {
-        long questionsRead;
+        long queriesRead;
         long retransmitted;
         long expired;
         long queueFull;
@@ -100,7 +100,7 @@
         }
 
         private Counters(Counters other) {
-            questionsRead = other.questionsRead;
+            queriesRead = other.queriesRead;
             retransmitted = other.retransmitted;
             expired = other.expired;
             queueFull = other.queueFull;
@@ -122,7 +122,7 @@
             NumberPlan plan,
             AdmissionController admission,
             FrontLoadState load,
-            QuestionQueue queue,
+            QueryQueue queue,
             Runnable drain) {
         this.loop = loop;
         this.suffix = suffix;
@@ -228,7 +228,7 @@
      * drains the queue no further task is scheduled: tasks that arrive as fast as they run would starve its sockets
      * (ticks were then 57 ms late at the median).
      *
-     * @return false if a question has arrived in the meantime and the caller must schedule the drain itself
+     * @return false if a query has arrived in the meantime and the caller must schedule the drain itself
      */
     boolean rearmDrain() {
         drainScheduled.set(false);
@@ -271,14 +271,14 @@
 
     // ---- Queries ----------------------------------------------------------------------------------------
 
-    private void handleQuestion(ChannelHandlerContext ctx, InetSocketAddress from, byte[] message) {
+    private void handleQuery(ChannelHandlerContext ctx, InetSocketAddress from, byte[] message) {
         double now = loop.now();
-        counters.questionsRead++;
-        FastPathQuery plainQuestion = FastPathQuery.parse(message, suffix);
-        NumberPlan.Entry entry = plainQuestion == null ? null : numberPlan.find(plainQuestion.number());
+        counters.queriesRead++;
+        FastPathQuery fastPathQuery = FastPathQuery.parse(message, suffix);
+        NumberPlan.Entry entry = fastPathQuery == null ? null : numberPlan.find(fastPathQuery.number());
         if (entry == null) {
             counters.slowPath++;
-            if (!enqueue(0, new QuestionQueue.QueuedQuestion(from, null, null, message, now, queueAge.maxAge(now)))
+            if (!enqueue(0, new QueryQueue.QueuedQuery(from, null, null, message, now, queueAge.maxAge(now)))
                     && message.length >= DnsCodec.HEADER_BYTES
                     && !DnsCodec.isResponse(message)) {
                 writeAnswer(ctx, from, EnumResponses.headerOnlyRefusal(message));
@@ -286,10 +286,10 @@
             return;
         }
         byte[] address = from.getAddress().getAddress();
-        long fingerprint = plainQuestion.fingerprint(HeavySenderDetector.hash(address) + from.getPort());
+        long fingerprint = fastPathQuery.fingerprint(HeavySenderDetector.hash(address) + from.getPort());
         int rank = ranks.rankOfClass(entry.callClass());
-        QuestionQueue.QueuedQuestion queued =
-                new QuestionQueue.QueuedQuestion(from, plainQuestion, entry, message, now, queueAge.maxAge(now));
+        QueryQueue.QueuedQuery queued =
+                new QueryQueue.QueuedQuery(from, fastPathQuery, entry, message, now, queueAge.maxAge(now));
         long remembered = recentDecisions.find(fingerprint, now);
         if (remembered != DecisionCache.UNKNOWN) {
             counters.retransmitted++;
@@ -302,8 +302,8 @@
             return;
         }
         counters.offered[rank]++;
-        double patienceMs = plainQuestion.callOption().timeMs() > 0
-                ? Math.min(plainQuestion.callOption().timeMs(), entry.patience())
+        double patienceMs = fastPathQuery.callOption().timeMs() > 0
+                ? Math.min(fastPathQuery.callOption().timeMs(), entry.patience())
                 : entry.patience();
         if (queued.socketAgeMs() > patienceMs - returnPathMs - FrontSettings.ANSWER_SLACK_MS) {
             // The caller has given up or will have before an answer can arrive: fail at once, without a set-up.
@@ -326,16 +326,16 @@
         refuse(ctx, queued, adviceMs);
     }
 
-    private void refuse(ChannelHandlerContext ctx, QuestionQueue.QueuedQuestion question, long adviceMs) {
-        FastPathQuery plainQuestion = question.plain();
+    private void refuse(ChannelHandlerContext ctx, QueryQueue.QueuedQuery query, long adviceMs) {
+        FastPathQuery fastPathQuery = query.fastPathQuery();
         writeAnswer(
                 ctx,
-                question.sender(),
+                query.sender(),
                 adviceMs == EXPIRED
                         ? FastPathResponse.encodeFailed(
-                                plainQuestion, "waited unread too long", plainQuestion.maxResponseBytes())
+                                fastPathQuery, "waited unread too long", fastPathQuery.maxResponseBytes())
                         : FastPathResponse.encodeRefused(
-                                plainQuestion, adviceMs, EnumService.FRONT_BUSY, plainQuestion.maxResponseBytes()));
+                                fastPathQuery, adviceMs, EnumService.FRONT_BUSY, fastPathQuery.maxResponseBytes()));
     }
 
     private static void writeAnswer(ChannelHandlerContext ctx, InetSocketAddress to, byte[] message) {
@@ -344,8 +344,8 @@
         }
     }
 
-    private boolean enqueue(int rank, QuestionQueue.QueuedQuestion question) {
-        if (!queue.offer(rank, question)) {
+    private boolean enqueue(int rank, QueryQueue.QueuedQuery query) {
+        if (!queue.offer(rank, query)) {
             return false;
         }
         if (drainScheduled.compareAndSet(false, true)) {
@@ -359,7 +359,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             byte[] message = ByteBufUtil.getBytes(packet.content());
             if (!queueAge.consumeMarker(message)) {
-                handleQuestion(ctx, packet.sender(), message);
+                handleQuery(ctx, packet.sender(), message);
             }
         }
 
--- a/src/main/java/damsonseam/front/DnsListener.java
+++ b/src/main/java/damsonseam/front/DnsListener.java
@@ -20,16 +20,16 @@
  * {@link DatagramIntake} and those received over TCP to the ENUM service on the front's event loop.
  */
 final class DnsListener {
-    /** Limit of questions handled per event-loop iteration, so that timers and signalling are not starved. */
-    private static final int MAX_QUESTIONS_PER_ITERATION = 64;
+    /** Limit of queries handled per event-loop iteration, so that timers and signalling are not starved. */
+    private static final int MAX_QUERIES_PER_ITERATION = 64;
     /** Limit of attempts with a system-chosen UDP port: the TCP port of the same number may be in use. */
     private static final int MAX_BIND_ATTEMPTS = 20;
 
     private final CoreLoop loop;
     private final EnumService enumService;
     private final Router router;
-    private final EnumService.AdmissionControl streamGate;
-    private final QuestionQueue queue;
+    private final EnumService.AdmissionControl streamAdmissionControl;
+    private final QueryQueue queue;
     private final FrontLoadState load;
     private final DatagramIntake intake;
     private final StreamListener streams;
@@ -49,14 +49,14 @@
         this.enumService = service;
         this.router = router;
         WorthRanks ranks = settings.ranks();
-        queue = new QuestionQueue(ranks.count(), settings.overload().queue());
+        queue = new QueryQueue(ranks.count(), settings.overload().queue());
         load = new FrontLoadState(queue, ranks.count(), FrontSettings.TICK_MS);
         intake = new DatagramIntake(loop, settings, suffix, plan, admission.get(), load, queue, this::drain);
         AdmissionController streamAdmission = admission.get();
-        streamGate = (now, callClass, source) ->
+        streamAdmissionControl = (now, callClass, source) ->
                 streamAdmission.decide(now, ranks.rankOfClass(callClass), senderHash(source), load);
         streams = new StreamListener(
-                loop, service, router, streamGate, settings.limits().connections());
+                loop, service, router, streamAdmissionControl, settings.limits().connections());
     }
 
     /** Returns the hash that identifies the sender, given as the source address or the TCP channel. */
@@ -100,19 +100,19 @@
         return streams;
     }
 
-    /** Handles queued questions, highest worth first, up to a limit per event-loop iteration. */
+    /** Handles queued queries, highest worth first, up to a limit per event-loop iteration. */
     private void drain() {
         double now = loop.now();
         router.fireOverdueTimers(now);
         load.recordIteration(now);
-        if (backlog && takenInDrain == MAX_QUESTIONS_PER_ITERATION) {
+        if (backlog && takenInDrain == MAX_QUERIES_PER_ITERATION) {
             load.recordBatch(now - lastDrainAt, takenInDrain);
         }
         lastDrainAt = now;
         takenInDrain = 0;
-        for (QuestionQueue.QueuedQuestion next = queue.poll();
+        for (QueryQueue.QueuedQuery next = queue.poll();
                 next != null;
-                next = takenInDrain < MAX_QUESTIONS_PER_ITERATION ? queue.poll() : null) {
+                next = takenInDrain < MAX_QUERIES_PER_ITERATION ? queue.poll() : null) {
             handle(next);
             takenInDrain++;
         }
@@ -124,14 +124,15 @@
         }
     }
 
-    private void handle(QuestionQueue.QueuedQuestion queued) {
+    private void handle(QueryQueue.QueuedQuery queued) {
         double now = loop.now();
         double ageMs = now - queued.readAtMs() + queued.socketAgeMs();
         EnumService.ResponseSender reply = answer -> intake.sendAnswer(queued.sender(), answer);
-        if (queued.plain() != null) {
-            enumService.handleQuery(now, queued.sender(), ageMs, queued.plain(), queued.entry(), reply);
+        if (queued.fastPathQuery() != null) {
+            enumService.handleQuery(now, queued.sender(), ageMs, queued.fastPathQuery(), queued.entry(), reply);
         } else {
-            enumService.handleQuery(now, queued.sender(), false, ageMs, queued.message(), streamGate, reply);
+            enumService.handleQuery(
+                    now, queued.sender(), false, ageMs, queued.message(), streamAdmissionControl, reply);
         }
     }
 
--- a/src/main/java/damsonseam/front/FrontLoadState.java
+++ b/src/main/java/damsonseam/front/FrontLoadState.java
@@ -18,13 +18,13 @@
     /** Cost per call assumed before the first measurement. */
     private static final double INITIAL_COST_PER_CALL_MS = 0.05;
 
-    private final QuestionQueue queue;
+    private final QueryQueue queue;
     private final double tickMs;
     private volatile double costPerCallMs = INITIAL_COST_PER_CALL_MS;
     private volatile double lastIterationAt;
     private volatile double[] pressureByRank;
 
-    FrontLoadState(QuestionQueue queue, int ranks, double tickMs) {
+    FrontLoadState(QueryQueue queue, int ranks, double tickMs) {
         this.queue = queue;
         this.tickMs = tickMs;
         pressureByRank = new double[ranks];
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -246,7 +246,7 @@
                     counters.refused,
                     counters.failed,
                     counters.setUps,
-                    intake.questionsRead,
+                    intake.queriesRead,
                     intake.retransmitted,
                     intake.expired,
                     intake.queueFull,
--- a/src/main/java/damsonseam/front/StreamListener.java
+++ b/src/main/java/damsonseam/front/StreamListener.java
@@ -35,7 +35,7 @@
 /**
  * Serves DNS over TCP (RFC 7766) on the front's event loop. The number of connections is bounded. At the bound a new
  * connection evicts the one that has been idle longest, so that idle connections cannot lock out a caller with a
- * question; if none is idle the new connection is closed. A connection whose peer does not read its answers is no
+ * query; if none is idle the new connection is closed. A connection whose peer does not read its answers is no
  * longer read from, and closed after {@link #SLOW_READER_TIMEOUT_MS}.
  */
 final class StreamListener {
@@ -44,18 +44,18 @@
     private static final int LENGTH_FIELD_BYTES = 2;
     /** Idle connections are closed after this time (RFC 7766 6.2.3 recommends some seconds). */
     private static final int IDLE_TIMEOUT_S = 30;
-    /** Limit of open questions per connection; at the limit it is not read until some are answered. */
-    private static final int MAX_OPEN_QUESTIONS = 1_000;
+    /** Limit of open queries per connection; at the limit it is not read until some are answered. */
+    private static final int MAX_OPEN_QUERIES = 1_000;
     /** A connection whose peer has read nothing for this time is closed. */
     private static final int SLOW_READER_TIMEOUT_MS = 5_000;
 
     private final CoreLoop loop;
     private final EnumService enumService;
     private final Router router;
-    private final EnumService.AdmissionControl gate;
+    private final EnumService.AdmissionControl admissionControl;
     private final int maxConnections;
     private final Set<Channel> connections = new LinkedHashSet<>();
-    /** Connections without an open question, longest idle first. */
+    /** Connections without an open query, longest idle first. */
     private final Set<Channel> idleConnections = new LinkedHashSet<>();
 
     private Channel serverChannel;
@@ -64,12 +64,12 @@
             CoreLoop loop,
             EnumService enumService,
             Router router,
-            EnumService.AdmissionControl gate,
+            EnumService.AdmissionControl admissionControl,
             int maxConnections) {
         this.loop = loop;
         this.enumService = enumService;
         this.router = router;
-        this.gate = gate;
+        this.admissionControl = admissionControl;
         this.maxConnections = maxConnections;
     }
 
@@ -149,7 +149,7 @@
                     true,
                     router.maxReadAge(loop.now()),
                     ByteBufUtil.getBytes(frame),
-                    gate,
+                    admissionControl,
                     answer -> {
                         answered[0] = true;
                         ctx.writeAndFlush(Unpooled.wrappedBuffer(answer));
@@ -165,12 +165,12 @@
             loop.scheduleBatchEnd();
         }
 
-        /** Pauses or resumes reading; a connection without open questions becomes a candidate for eviction. */
+        /** Pauses or resumes reading; a connection without open queries becomes a candidate for eviction. */
         private void updateReadState(ChannelHandlerContext ctx) {
             ctx.channel()
                     .config()
-                    .setAutoRead(openCalls.size() < MAX_OPEN_QUESTIONS
-                            && ctx.channel().isWritable());
+                    .setAutoRead(
+                            openCalls.size() < MAX_OPEN_QUERIES && ctx.channel().isWritable());
             if (openCalls.isEmpty() && connections.contains(ctx.channel())) {
                 idleConnections.add(ctx.channel());
             }
--- a/src/test/java/damsonseam/front/FrontOverloadTest.java
+++ b/src/test/java/damsonseam/front/FrontOverloadTest.java
@@ -43,14 +43,14 @@
  */
 class FrontOverloadTest {
     private static final int MAX_CONNECTIONS = 3;
-    private SimulatedPeers surroundings;
+    private SimulatedPeers peers;
     private FrontServer front;
 
     @BeforeEach
     void start() throws Exception {
         CalculatorSettings fastCalculators =
                 new CalculatorSettings(2_000.0, null, null, null, null, 20_000, null, null, null, null, null);
-        surroundings = new SimulatedPeers(
+        peers = new SimulatedPeers(
                 new Scenario(
                         "test",
                         null,
@@ -62,7 +62,7 @@
                         null,
                         null),
                 null);
-        FrontSettings settings = surroundings.frontSettings(0, new Endpoint("127.0.0.1", 0));
+        FrontSettings settings = peers.frontSettings(0, new Endpoint("127.0.0.1", 0));
         front = FrontServer.start(
                 new FrontSettings(
                         settings.front(),
@@ -82,7 +82,7 @@
     @AfterEach
     void stop() {
         front.close();
-        surroundings.close();
+        peers.close();
     }
 
     private static Message question(int id, String number) {
@@ -108,13 +108,13 @@
 
     /**
      * The event loop is paused while calls arrive. The intake thread refuses low-worth calls at once, high-worth calls
-     * wait in the queue. Each call gets one answer, and a retransmitted question gets the identical answer.
+     * wait in the queue. Each call gets one answer, and a retransmitted query gets the identical answer.
      */
     @Test
     void pausedEventLoopRefusesLowWorthAtOnceAndQueuesHighWorthCalls() throws Exception {
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.setSoTimeout(10_000);
-            // Holds all answers: none is read before the last question is sent.
+            // Holds all answers: none is read before the last query is sent.
             socket.setReceiveBufferSize(4 << 20);
             front.pauseLoop(400);
             int callsPerClass = 300;
--- a/src/test/java/damsonseam/front/FrontServerTest.java
+++ b/src/test/java/damsonseam/front/FrontServerTest.java
@@ -45,7 +45,7 @@
  */
 class FrontServerTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
-    private SimulatedPeers surroundings;
+    private SimulatedPeers peers;
     private FrontServer front;
     private int nextId = 1;
 
@@ -61,15 +61,15 @@
                 new Scenario.Directory(damsonseam.config.TimeSpan.ms(0), null),
                 null,
                 null);
-        surroundings = new SimulatedPeers(scenario, null);
-        front = FrontServer.start(surroundings.frontSettings(0, new Endpoint("127.0.0.1", 0)), true);
+        peers = new SimulatedPeers(scenario, null);
+        front = FrontServer.start(peers.frontSettings(0, new Endpoint("127.0.0.1", 0)), true);
         assertTrue(front.awaitReady(20_000));
     }
 
     @AfterEach
     void stop() {
         front.close();
-        surroundings.close();
+        peers.close();
     }
 
     private static String number(int firstChoice, int sequence) {
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void severalQuestionsOnOneTcpConnectionAreAllAnswered() throws Exception {
+    void severalQueriesOnOneTcpConnectionAreAllAnswered() throws Exception {
         try (Socket socket =
                 new Socket(front.enumAddress().getAddress(), front.enumAddress().getPort())) {
             socket.setSoTimeout(10_000);
@@ -151,7 +151,7 @@
 
     @Test
     void closedTcpConnectionEndsItsOpenCalls() throws Exception {
-        surroundings.calculators().forEach(c -> c.pause());
+        peers.calculators().forEach(c -> c.pause());
         try (Socket socket =
                 new Socket(front.enumAddress().getAddress(), front.enumAddress().getPort())) {
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
@@ -185,16 +185,16 @@
         }
         byte[] badVersion = M3uaMessage.of(M3uaMessage.Kind.NTFY).encode();
         badVersion[3] = 9;
-        surroundings.calculators().get(0).sendRaw(badVersion);
+        peers.calculators().get(0).sendRaw(badVersion);
         assertNotEquals("", call(0, 1));
         byte[] huge = {1, 0, 1, 1, (byte) 0xff, (byte) 0xff, (byte) 0xff, (byte) 0xff, 9, 9};
-        surroundings.calculators().forEach(c -> c.sendRaw(huge));
+        peers.calculators().forEach(c -> c.sendRaw(huge));
         byte[] noise = new byte[4_000];
         random.nextBytes(noise);
-        surroundings.calculators().get(1).sendRaw(noise);
-        surroundings.authorities().forEach(a -> a.setResponseMode(DnsAuthority.ResponseMode.MALFORMED));
+        peers.calculators().get(1).sendRaw(noise);
+        peers.authorities().forEach(a -> a.setResponseMode(DnsAuthority.ResponseMode.MALFORMED));
         assertEquals("SERVFAIL", call(0, 9));
-        surroundings.authorities().forEach(a -> a.setResponseMode(DnsAuthority.ResponseMode.NORMAL));
+        peers.authorities().forEach(a -> a.setResponseMode(DnsAuthority.ResponseMode.NORMAL));
         // Links that have lost their framing were closed and are re-established.
         await().atMost(TIMEOUT).until(() -> call(0, 10 + nextId).startsWith("calc-"));
     }
@@ -202,7 +202,7 @@
     @Test
     void drainingServerGetsNoMoreCalls() throws Exception {
         assertEquals("calc-00.example.org", call(0, 1));
-        surroundings.directory().updateDelayed(surroundings.directoryEntry(0), State.DRAINING, false);
+        peers.directory().updateDelayed(peers.directoryEntry(0), State.DRAINING, false);
         await().atMost(TIMEOUT).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
         for (int i = 0; i < 5; i++) {
             assertNotEquals("calc-00.example.org", call(0, 100 + i));
@@ -212,49 +212,49 @@
     @Test
     void unavailableDestinationGetsNoCallsUntilItIsAvailable() throws Exception {
         assertEquals("calc-00.example.org", call(0, 1));
-        surroundings.calculators().get(0).sendDestinationState(M3uaMessage.Kind.DUNA, 0);
+        peers.calculators().get(0).sendDestinationState(M3uaMessage.Kind.DUNA, 0);
         await().atMost(TIMEOUT).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
-        surroundings.calculators().get(0).sendDestinationState(M3uaMessage.Kind.SCON, 2);
-        surroundings.calculators().get(0).sendDestinationState(M3uaMessage.Kind.DAVA, 0);
+        peers.calculators().get(0).sendDestinationState(M3uaMessage.Kind.SCON, 2);
+        peers.calculators().get(0).sendDestinationState(M3uaMessage.Kind.DAVA, 0);
         await().atMost(TIMEOUT).until(() -> call(0, 50 + nextId).equals("calc-00.example.org"));
     }
 
     @Test
     void serverListSurvivesDirectoryCrashAndFollowsTheRestartedOne() throws Exception {
-        surroundings.directory().crash();
+        peers.directory().crash();
         assertEquals("calc-00.example.org", call(0, 1));
-        surroundings.directory().start(null);
-        surroundings.directory().updateNow(surroundings.directoryEntry(0), State.GONE);
+        peers.directory().start(null);
+        peers.directory().updateNow(peers.directoryEntry(0), State.GONE);
         await().atMost(TIMEOUT).until(() -> !call(0, 10 + nextId).equals("calc-00.example.org"));
     }
 
     @Test
     void crashedCalculatorIsAvoidedAndUsedAgainAfterItsRestart() throws Exception {
         assertEquals("calc-00.example.org", call(0, 1));
-        surroundings.calculators().get(0).crash();
+        peers.calculators().get(0).crash();
         List<String> results = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             results.add(call(0, 10 + i));
         }
         assertTrue(results.stream().noneMatch("calc-00.example.org"::equals), results.toString());
         assertTrue(results.stream().filter(p -> p.startsWith("calc-")).count() >= 4, results.toString());
-        surroundings.calculators().get(0).start(null, true);
+        peers.calculators().get(0).start(null, true);
         await().atMost(TIMEOUT).until(() -> call(0, 50 + nextId).equals("calc-00.example.org"));
     }
 
     @Test
     void callIsEstablishedWhileAuthoritiesFailInTurn() throws Exception {
-        surroundings.authorities().get(0).setResponseMode(DnsAuthority.ResponseMode.LAME);
-        surroundings.authorities().get(1).setResponseMode(DnsAuthority.ResponseMode.TRUNCATED);
+        peers.authorities().get(0).setResponseMode(DnsAuthority.ResponseMode.LAME);
+        peers.authorities().get(1).setResponseMode(DnsAuthority.ResponseMode.TRUNCATED);
         assertEquals("calc-01.example.org", call(1, 21));
-        surroundings.authorities().get(0).setResponseMode(DnsAuthority.ResponseMode.SILENT);
-        surroundings.authorities().get(1).setResponseMode(DnsAuthority.ResponseMode.FORGED);
+        peers.authorities().get(0).setResponseMode(DnsAuthority.ResponseMode.SILENT);
+        peers.authorities().get(1).setResponseMode(DnsAuthority.ResponseMode.FORGED);
         assertEquals("calc-01.example.org", call(1, 22));
     }
 
     @Test
     void drainAnswersOpenCallsBeforeItReturns() throws Exception {
-        surroundings.calculators().forEach(c -> c.setSlowdown(10));
+        peers.calculators().forEach(c -> c.setSlowdown(10));
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.setSoTimeout(10_000);
             byte[] question = question(number(0, 1));
