--- a/src/main/java/damsonseam/CongestionControlPolicy.java
+++ b/src/main/java/damsonseam/CongestionControlPolicy.java
@@ -49,7 +49,6 @@
     private static final double MAX_FIRST_ONSET_SHARE = 0.5;
     /** Weight of the newest sample in the wait estimate. */
     private static final double FAST_SMOOTHING_WEIGHT = 0.5;
-
     /** Least weight of the newest sample in the mean and variance of the wait in normal operation. */
     private static final double MIN_SLOW_SMOOTHING_WEIGHT = 0.05;
     /** Least rate at which the wait estimate decays without new samples, in milliseconds per millisecond. */
@@ -80,7 +79,6 @@
     private static final double SERVER_LIST_RETRY_MS = 1_000.0;
     /** Greatest throttle of a server: the factor by which this front's send interval exceeds the fair one. */
     private static final double MAX_THROTTLE = 8.0;
-
     /** Factor that a short wait applies to the throttle. */
     private static final double THROTTLE_DECAY = 0.6;
     /** Throttle below which a server is no longer throttled. */
@@ -125,12 +123,12 @@
     /** Held calls that still have their full worth, ordered by the time at which it falls. */
     private final TreeSet<PendingCall> callsBeforeAim = new TreeSet<>(
             Comparator.comparingDouble((PendingCall c) -> c.aimDeadline).thenComparingLong(c -> c.id));
-
     /** Held calls that have only their late worth, in the same order. */
     private final TreeSet<PendingCall> callsPastAim = new TreeSet<>(callsBeforeAim.comparator());
-
+    /** All held calls with a rank, ordered by their deadline. */
     private final TreeSet<PendingCall> heldByDeadline = new TreeSet<>(
             Comparator.comparingDouble((PendingCall c) -> c.deadline).thenComparingLong(c -> c.id));
+    /** Held calls that wait for the release guard time, ordered by its end. */
     private final TreeSet<PendingCall> deferredByReleaseTime = new TreeSet<>(
             Comparator.comparingDouble((PendingCall c) -> c.notBefore).thenComparingLong(c -> c.id));
     /** Cache of usable servers by class and allowed servers; each server-list update clears it. */
@@ -139,23 +137,29 @@
     private boolean skippedForDeadline;
     /** Dialled numbers whose lines are all busy, with the time until which this is assumed. */
     private final ExpiringNumbers busyNumbers = new ExpiringNumbers();
-
-    /** Numbers of calls that got no service; a new call for one is treated as a redial. */
+    /** Numbers of calls that got no service; until it expires, a new call to one counts as a redial. */
     private final ExpiringNumbers unservedNumbers = new ExpiringNumbers();
     /** Calls whose set-up was lost in the network or sent to a server that has restarted since. */
     private final Set<Long> lostSetUps = new TreeSet<>();
     /** Longest remaining time with which a call of each class was offered. */
     private final double[] maxTimeLeft;
 
+    /** Due time of the sweep timer, or infinity while none runs. */
     private double nextSweepAt = Double.POSITIVE_INFINITY;
+
     private double lastEventAt = Double.NEGATIVE_INFINITY;
+    /** Length of the pause before the present batch; 0 if there was none. */
     private double lastPause;
+    /** Time lost to all pauses so far. */
     private double totalPaused;
+    /** Number of established calls, decaying with {@link #RATE_WINDOW_MS}, and the time that it spans. */
     private double recentEstablished;
+
     private double recentEstablishedSpan;
     private double lastEstablishedAt = Double.NaN;
     private double completedCallTime;
     private int completedCalls;
+    /** Shortest set-up delay of all servers. */
     private double bestDelay = Double.POSITIVE_INFINITY;
     /** Least time from now to an answer at any running server, computed once per batch. */
     private double minTimeToAnswer;
@@ -250,7 +254,9 @@
         int index;
         ServerState state = ServerState.RUNNING;
         boolean down;
+        /** Whether set-ups go one at a time until an answer shows a wait below the first onset. */
         boolean reopening;
+
         int consecutiveFailures;
         double startedAt = Double.NEGATIVE_INFINITY;
         double minDelay = Double.POSITIVE_INFINITY;
@@ -259,7 +265,9 @@
         double meanWait;
         double waitVariance;
         int sampleCount;
+        /** End of the time for which the server asked not to be tried again. */
         double retryAfterUntil = Double.NEGATIVE_INFINITY;
+
         double freeLines = Double.POSITIVE_INFINITY;
         double lines = Double.POSITIVE_INFINITY;
         double linesReportedAt = Double.NEGATIVE_INFINITY;
@@ -268,14 +276,23 @@
         double lastSentAt = Double.NEGATIVE_INFINITY;
         double lastTestAt = Double.NEGATIVE_INFINITY;
         double nextPacedSendAt = Double.NEGATIVE_INFINITY;
+        /** Token bucket for set-ups while the server is cold or throttled; it may be negative. */
         double tokens;
+
         double tokensUpdatedAt;
+        /** Multiple of the fair interval between set-ups of this front; 0 if not throttled. */
         double throttle;
+        /** Peak of lines in use, decaying with {@link #RATE_WINDOW_MS}. */
         double peakLinesInUse;
+        /** Key of the weighted random draw; the lowest wins. */
         double selectionKey;
+
         double linesReportInterval;
+        /** This front's lot: the number of available lines that it must see before it sends. */
         double lineThreshold;
+        /** Whether an attempt was reset or found the server unreachable since its last answer. */
         boolean connectionFailed;
+        /** Ranks stopped since their onset and not yet released at their abatement. */
         final boolean[] stoppedRanks;
         /** Unanswered set-ups by call, oldest first, with the send time less the pauses until then. */
         final Map<Long, Double> unanswered = new LinkedHashMap<>();
--- a/src/test/java/damsonseam/ColdFleetStartTest.java
+++ b/src/test/java/damsonseam/ColdFleetStartTest.java
@@ -105,7 +105,7 @@
         }
 
         @Override
-        public void sendSetUp(long nextCallId, String serverId, double abandonAt) {
+        public void sendSetUp(long callId, String serverId, double abandonAt) {
             setUpsSent++;
             if (serverId.equals("s0") && now >= notifiedAt) {
                 recordArrival();
@@ -115,14 +115,14 @@
                     now + ANSWER_DELAY_MS,
                     () -> handle(() -> {
                         policy.onProbeResult(now, serverId, false, true, 0, ServerLoadReport.NONE);
-                        policy.onCallEstablished(now, nextCallId, serverId, 0, now - sentAt);
+                        policy.onCallEstablished(now, callId, serverId, 0, now - sentAt);
                     }));
             schedule(
                     now + ANSWER_DELAY_MS + HOLDING_TIME_MS,
                     () -> handle(() -> policy.onAttemptOutcome(
                             now,
                             new AttemptOutcome(
-                                    nextCallId,
+                                    callId,
                                     serverId,
                                     0,
                                     now - sentAt,
@@ -150,13 +150,13 @@
         }
 
         @Override
-        public void refuseCall(long nextCallId, double retryAfter) {}
+        public void refuseCall(long callId, double retryAfter) {}
 
         @Override
-        public void failCall(long nextCallId) {}
+        public void failCall(long callId) {}
 
         @Override
-        public void cancelAttempt(long nextCallId, int attempt) {}
+        public void cancelAttempt(long callId, int attempt) {}
 
         @Override
         public void fetchServerList() {}
--- a/src/test/java/damsonseam/CongestionControlPolicyTest.java
+++ b/src/test/java/damsonseam/CongestionControlPolicyTest.java
@@ -56,7 +56,7 @@
         PolicyScript script = knownServers();
         script.establishAfterWait("a", 600);
         assertEquals("b", script.lastServer(script.offer(0, 0)));
-        script.establish(script.lastCall(), QUICK_ANSWER_MS);
+        script.establish(script.lastCallId(), QUICK_ANSWER_MS);
         script.run(1500);
         assertEquals("a", script.lastServer(script.offer(0, 0)));
     }
@@ -106,17 +106,17 @@
     @Test
     void fullServerIsNotTriedAgainAtOnceByTheSameCall() {
         PolicyScript script = knownServers();
-        long call = script.offer(0, 0);
-        script.endAttempt(call, AttemptStatus.FULL, RejectReason.PROCESSOR_FULL);
-        assertEquals("b", script.lastServer(call));
-        assertEquals(2, script.attemptCount(call));
+        long callId = script.offer(0, 0);
+        script.endAttempt(callId, AttemptStatus.FULL, RejectReason.PROCESSOR_FULL);
+        assertEquals("b", script.lastServer(callId));
+        assertEquals(2, script.attemptCount(callId));
     }
 
     @Test
     void retryAfterIsHonoured() {
         PolicyScript script = knownServers();
         script.rejectWithRetryAfter(script.offer(1, 0), 5000);
-        script.establish(script.lastCall(), QUICK_ANSWER_MS);
+        script.establish(script.lastCallId(), QUICK_ANSWER_MS);
         script.run(3000);
         assertEquals("b", script.lastServer(script.offer(1, 0)));
     }
@@ -124,13 +124,13 @@
     @Test
     void resetCallIsRetriedOnlyAfterReleaseGuard() {
         PolicyScript script = knownServers();
-        long call = script.offer(0, 0);
-        script.endAttempt(call, AttemptStatus.RESET, RejectReason.NONE);
-        assertEquals(1, script.attemptCount(call));
+        long callId = script.offer(0, 0);
+        script.endAttempt(callId, AttemptStatus.RESET, RejectReason.NONE);
+        assertEquals(1, script.attemptCount(callId));
         script.run(295);
-        assertEquals(1, script.attemptCount(call));
+        assertEquals(1, script.attemptCount(callId));
         script.run(100);
-        assertEquals(2, script.attemptCount(call));
+        assertEquals(2, script.attemptCount(callId));
     }
 
     @Test
@@ -167,7 +167,7 @@
         PolicyScript script = knownServers();
         script.updateServer("a", ServerState.DRAINING);
         assertEquals("b", script.lastServer(script.offer(0, 0)));
-        script.establish(script.lastCall(), QUICK_ANSWER_MS);
+        script.establish(script.lastCallId(), QUICK_ANSWER_MS);
         script.updateServer("b", ServerState.GONE);
         assertTrue(script.isRefused(script.offer(0, 1)));
     }
@@ -233,9 +233,9 @@
     @Test
     void waitProvedBySilenceRemainsAfterTimeout() {
         PolicyScript script = knownServers();
-        long call = script.offer(1, 0);
+        long callId = script.offer(1, 0);
         script.run(900);
-        script.endAttempt(call, AttemptStatus.TIMED_OUT, RejectReason.NONE);
+        script.endAttempt(callId, AttemptStatus.TIMED_OUT, RejectReason.NONE);
         assertNotEquals("a", script.lastServer(script.offer(0, 0)));
     }
 
@@ -267,12 +267,12 @@
         PolicyScript script = knownServers();
         int rejected = 0;
         for (int i = 0; i < 40; i++) {
-            long call = script.offer(0, 0);
-            if ("a".equals(script.lastServer(call))) {
-                script.endAttempt(call, AttemptStatus.FULL, RejectReason.PROCESSOR_FULL);
+            long callId = script.offer(0, 0);
+            if ("a".equals(script.lastServer(callId))) {
+                script.endAttempt(callId, AttemptStatus.FULL, RejectReason.PROCESSOR_FULL);
                 rejected++;
             }
-            script.establish(call, QUICK_ANSWER_MS);
+            script.establish(callId, QUICK_ANSWER_MS);
             script.run(100);
         }
         assertTrue(rejected >= 1 && rejected <= 5, rejected + " of 40");
@@ -291,7 +291,7 @@
         PolicyScript script = knownServers();
         script.endAttempt(script.offer(1, 0), AttemptStatus.FULL, RejectReason.NO_LINE);
         assertEquals("b", script.lastServer(script.offer(1, 0)));
-        script.establish(script.lastCall(), QUICK_ANSWER_MS);
+        script.establish(script.lastCallId(), QUICK_ANSWER_MS);
         script.reportLines("a", 50, 100);
         assertEquals("a", script.lastServer(script.offer(1, 0)));
     }
@@ -302,7 +302,7 @@
         script.establishAfterWait("a", 2000);
         script.run(2100);
         assertEquals("b", script.lastServer(script.offer(0, 0)));
-        script.establish(script.lastCall(), QUICK_ANSWER_MS);
+        script.establish(script.lastCallId(), QUICK_ANSWER_MS);
         script.run(4000);
         assertEquals("a", script.lastServer(script.offer(0, 0)));
     }
@@ -329,7 +329,7 @@
         PolicyScript script = knownServers();
         script.establishAfterWait("a", 300);
         assertEquals("b", script.lastServer(script.offer(0, 0)));
-        script.establish(script.lastCall(), QUICK_ANSWER_MS);
+        script.establish(script.lastCallId(), QUICK_ANSWER_MS);
         script.run(1500);
         long first = script.offer(1, 0);
         script.offer(1, 0);
@@ -351,9 +351,9 @@
     @Test
     void callCancelledAfterItWasEstablishedIsFailed() {
         PolicyScript script = knownServers();
-        long call = script.offer(0, 0);
-        script.establishThenCancel(call);
-        assertTrue(script.isFailed(call));
+        long callId = script.offer(0, 0);
+        script.establishThenCancel(callId);
+        assertTrue(script.isFailed(callId));
     }
 
     @Test
@@ -369,9 +369,9 @@
     @Test
     void pauseOfTheFrontIsNotCountedAsServerWait() {
         PolicyScript script = knownServers();
-        long call = script.offer(0, 0);
+        long callId = script.offer(0, 0);
         script.pause(1500);
-        script.establish(call, 1500);
+        script.establish(callId, 1500);
         assertEquals("a", script.lastServer(script.offer(0, 0)));
     }
 
@@ -418,10 +418,10 @@
             script.reportLines("full", 0, 1000);
             script.reportLines("large", 200, 1000);
             script.reportLines("small", 40, 50);
-            long call = script.offer(1, 0);
-            sentToLarge += "large".equals(script.lastServer(call)) ? 1 : 0;
+            long callId = script.offer(1, 0);
+            sentToLarge += "large".equals(script.lastServer(callId)) ? 1 : 0;
             script.run(QUICK_ANSWER_MS);
-            script.establish(call, QUICK_ANSWER_MS);
+            script.establish(callId, QUICK_ANSWER_MS);
         }
         assertTrue(sentToLarge >= 35, sentToLarge + " of 40");
     }
@@ -429,13 +429,13 @@
     @Test
     void attemptsPerCallAreLimited() {
         PolicyScript script = knownServers();
-        long call = script.offer(0, 0);
+        long callId = script.offer(0, 0);
         for (int i = 0; i < 3; i++) {
-            script.endAttempt(call, AttemptStatus.NOT_SENT, RejectReason.NONE);
+            script.endAttempt(callId, AttemptStatus.NOT_SENT, RejectReason.NONE);
             script.run(100);
         }
-        assertTrue(script.attemptCount(call) <= 3);
-        assertTrue(script.isFailed(call));
+        assertTrue(script.attemptCount(callId) <= 3);
+        assertTrue(script.isFailed(callId));
     }
 
     @Test
@@ -458,9 +458,9 @@
     private static PolicyScript runMixedTraffic(int seed) {
         PolicyScript script = new PolicyScript(PolicyScript.settings().buildWithSeed(seed)).listServers("a", "b", "c");
         for (int i = 0; i < 300; i++) {
-            long call = script.offer(i % 2, i % 3);
-            if (i % 4 != 0 && script.isAttemptPending(call)) {
-                script.establish(call, 30 + i % 50);
+            long callId = script.offer(i % 2, i % 3);
+            if (i % 4 != 0 && script.isAttemptPending(callId)) {
+                script.establish(callId, 30 + i % 50);
             }
             script.run(11);
         }
--- a/src/test/java/damsonseam/PolicyScript.java
+++ b/src/test/java/damsonseam/PolicyScript.java
@@ -156,7 +156,7 @@
         return callId;
     }
 
-    long lastCall() {
+    long lastCallId() {
         return nextCallId - 1;
     }
 
--- a/src/test/java/damsonseam/SimulatedCallStream.java
+++ b/src/test/java/damsonseam/SimulatedCallStream.java
@@ -34,8 +34,10 @@
     private static final double TICK_MS = 5;
     private static final double PATIENCE_MS = 3_000;
 
+    /** An action due at a simulated time. */
     private record Event(double at, long order, Runnable action) {}
 
+    /** A simulated server with one processor. */
     private static final class Server {
         final String id;
         final int index;
@@ -53,6 +55,7 @@
         }
     }
 
+    /** A call and its present attempt. */
     private static final class CallState {
         final String number;
         final int callClass;
--- a/src/test/java/damsonseam/sim/SimulatedFront.java
+++ b/src/test/java/damsonseam/sim/SimulatedFront.java
@@ -139,20 +139,20 @@
                 new Resolver.Limits(4, 6, 50_000, 300),
                 new Resolver.Output() {
                     @Override
-                    public void sendUdp(int authority, int socket, byte[] question) {
+                    public void sendUdp(int authority, int socket, byte[] queryBytes) {
                         if (dnsDelayMs >= 0) {
                             schedule(
                                     dnsDelayMs,
-                                    () -> resolver.onResponse(now, authority, socket, authorityAnswer(question)));
+                                    () -> resolver.onResponse(now, authority, socket, authorityAnswer(queryBytes)));
                         }
                     }
 
                     @Override
-                    public void sendTcp(int authority, byte[] question) {
+                    public void sendTcp(int authority, byte[] queryBytes) {
                         schedule(
                                 dnsDelayMs,
                                 () -> resolver.onResponse(
-                                        now, authority, Resolver.TCP_SOCKET, authorityAnswer(question)));
+                                        now, authority, Resolver.TCP_SOCKET, authorityAnswer(queryBytes)));
                     }
 
                     @Override
@@ -365,9 +365,9 @@
     }
 
     /** Returns the authority's answer: all servers, the first choice given by the digit after the class prefix. */
-    private byte[] authorityAnswer(byte[] question) {
+    private byte[] authorityAnswer(byte[] queryBytes) {
         try {
-            Message query = DnsCodec.decode(question);
+            Message query = DnsCodec.decode(queryBytes);
             Name name = query.getQuestion().getName();
             Message reply = new Message(query.getHeader().getID());
             reply.getHeader().setFlag(Flags.QR);
