--- a/src/main/java/damsonseam/day/FaultInjector.java
+++ b/src/main/java/damsonseam/day/FaultInjector.java
@@ -20,186 +20,188 @@
 final class FaultInjector implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(FaultInjector.class);
     private static final int AGEING_STEPS = 20;
-    private static final long BETWEEN_STALLS_MS = 3_000;
-    private static final double DRAIN_MS = 4_000;
+    private static final long PAUSE_INTERVAL_MS = 3_000;
+    private static final double DRAIN_TIME_MS = 4_000;
 
     private final Scenario scenario;
-    private final SimulatedPeers around;
+    private final SimulatedPeers peers;
     private final List<FrontServer> fronts;
     private final SplittableRandom random;
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(r -> {
-        Thread t = new Thread(r, "troubles");
-        t.setDaemon(true);
-        return t;
+    private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(r -> {
+        Thread thread = new Thread(r, "fault-injector");
+        thread.setDaemon(true);
+        return thread;
     });
 
     /** Something that may fail as the parts may. */
-    private interface Act {
+    private interface FaultAction {
         void run() throws Exception;
     }
 
-    FaultInjector(Scenario scenario, SimulatedPeers around, List<FrontServer> fronts) {
+    FaultInjector(Scenario scenario, SimulatedPeers peers, List<FrontServer> fronts) {
         this.scenario = scenario;
-        this.around = around;
+        this.peers = peers;
         this.fronts = fronts;
         random = new SplittableRandom(scenario.seed() ^ 0x7ab1e5);
     }
 
     void start() {
-        double length = scenario.length().ms();
-        double every = scenario.cycle() == null ? length : scenario.cycle().ms();
-        for (double from = 0; from < length; from += every) {
-            for (Scenario.Fault t : scenario.troubles()) {
-                if (from + t.at().ms() < length) {
-                    begin(t, from + t.at().ms());
+        double lengthMs = scenario.length().ms();
+        double cycleMs = scenario.cycle() == null ? lengthMs : scenario.cycle().ms();
+        for (double cycleStartMs = 0; cycleStartMs < lengthMs; cycleStartMs += cycleMs) {
+            for (Scenario.Fault fault : scenario.troubles()) {
+                if (cycleStartMs + fault.at().ms() < lengthMs) {
+                    scheduleFault(fault, cycleStartMs + fault.at().ms());
                 }
             }
         }
     }
 
-    private void at(double ms, Act act) {
-        thread.schedule(
+    private void runAt(double timeMs, FaultAction action) {
+        executor.schedule(
                 () -> {
                     try {
-                        act.run();
+                        action.run();
                     } catch (Exception e) {
                         LOG.atError().addKeyValue("error", e.toString()).log("a trouble could not be played");
                     }
                 },
-                (long) (ms * 1_000),
+                (long) (timeMs * 1_000),
                 TimeUnit.MICROSECONDS);
     }
 
-    private List<Integer> some(double part, int of) {
-        List<Integer> all = new ArrayList<>();
-        for (int i = 0; i < of; i++) {
-            all.add(i);
+    private List<Integer> drawIndices(double share, int count) {
+        List<Integer> indices = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            indices.add(i);
         }
-        for (int i = of - 1; i > 0; i--) {
-            java.util.Collections.swap(all, i, random.nextInt(i + 1));
+        for (int i = count - 1; i > 0; i--) {
+            java.util.Collections.swap(indices, i, random.nextInt(i + 1));
         }
-        return all.subList(0, (int) Math.max(1, Math.min(of, Math.round(part * of))));
+        return indices.subList(0, (int) Math.max(1, Math.min(count, Math.round(share * count))));
     }
 
-    private void begin(Scenario.Fault t, double start) {
-        double end = start + t.duration().ms();
-        List<Integer> struck = some(t.part(), around.calculators().size());
-        switch (t.kind()) {
-            case CRASH -> struck.forEach(i -> crash(i, start, end));
-            case MASS_RESTART -> some(1, around.calculators().size()).forEach(i -> crash(i, start, start + 300));
-            case VANISH -> struck.forEach(i -> vanish(i, start, end));
+    private void scheduleFault(Scenario.Fault fault, double startMs) {
+        double endMs = startMs + fault.duration().ms();
+        List<Integer> affected = drawIndices(fault.part(), peers.calculators().size());
+        switch (fault.kind()) {
+            case CRASH -> affected.forEach(i -> scheduleCrash(i, startMs, endMs));
+            case MASS_RESTART ->
+                drawIndices(1, peers.calculators().size()).forEach(i -> scheduleCrash(i, startMs, startMs + 300));
+            case VANISH -> affected.forEach(i -> scheduleVanish(i, startMs, endMs));
             case HANG ->
-                struck.forEach(i -> {
-                    at(start, () -> around.calculators().get(i).pause());
-                    at(end, () -> around.calculators().get(i).resume());
+                affected.forEach(i -> {
+                    runAt(startMs, () -> peers.calculators().get(i).pause());
+                    runAt(endMs, () -> peers.calculators().get(i).resume());
                 });
             case SLOW ->
-                struck.forEach(i -> {
-                    at(start, () -> around.calculators().get(i).setSlowdown(t.size()));
-                    at(end, () -> around.calculators().get(i).setSlowdown(1));
+                affected.forEach(i -> {
+                    runAt(startMs, () -> peers.calculators().get(i).setSlowdown(fault.size()));
+                    runAt(endMs, () -> peers.calculators().get(i).setSlowdown(1));
                 });
             case AGEING ->
-                struck.forEach(i -> {
+                affected.forEach(i -> {
                     for (int step = 1; step <= AGEING_STEPS; step++) {
                         double share = step / (double) AGEING_STEPS;
-                        at(
-                                start + share * t.duration().ms(),
-                                () -> around.calculators().get(i).setSlowdown(Math.pow(t.size(), share)));
+                        runAt(
+                                startMs + share * fault.duration().ms(),
+                                () -> peers.calculators().get(i).setSlowdown(Math.pow(fault.size(), share)));
                     }
-                    crash(i, end, end + 3_000);
+                    scheduleCrash(i, endMs, endMs + 3_000);
                 });
-            case DEPLOY -> deploy(struck, start, t.duration().ms());
+            case DEPLOY -> scheduleDeploy(affected, startMs, fault.duration().ms());
             case FRONT_STALL ->
-                some(t.part(), fronts.size()).forEach(i -> {
-                    double offset = random.nextDouble() * BETWEEN_STALLS_MS;
-                    for (double s = start + offset; s < end; s += BETWEEN_STALLS_MS) {
-                        at(s, () -> stall(i, t.size().longValue()));
+                drawIndices(fault.part(), fronts.size()).forEach(i -> {
+                    double offsetMs = random.nextDouble() * PAUSE_INTERVAL_MS;
+                    for (double pauseMs = startMs + offsetMs; pauseMs < endMs; pauseMs += PAUSE_INTERVAL_MS) {
+                        runAt(pauseMs, () -> pauseFront(i, fault.size().longValue()));
                     }
                 });
             case STALE_DIRECTORY -> {
-                double usual = scenario.directory().notice().ms();
-                at(start, () -> around.directory().setNotificationDelay((long) (usual + t.size())));
-                at(end, () -> around.directory().setNotificationDelay((long) usual));
+                double usualDelayMs = scenario.directory().notice().ms();
+                runAt(startMs, () -> peers.directory().setNotificationDelay((long) (usualDelayMs + fault.size())));
+                runAt(endMs, () -> peers.directory().setNotificationDelay((long) usualDelayMs));
             }
             case SILENT_DIRECTORY -> {
-                at(start, () -> around.directory().setSilent(true));
-                at(end, () -> around.directory().setSilent(false));
+                runAt(startMs, () -> peers.directory().setSilent(true));
+                runAt(endMs, () -> peers.directory().setSilent(false));
             }
             case BURST -> {
-                at(start, () -> around.callers().setRate(scenario.load().callsPerS() * t.size()));
-                at(end, () -> around.callers().setRate(scenario.load().callsPerS()));
+                runAt(startMs, () -> peers.callers().setRate(scenario.load().callsPerS() * fault.size()));
+                runAt(endMs, () -> peers.callers().setRate(scenario.load().callsPerS()));
             }
             case ANSWER_LOST ->
-                struck.forEach(i -> {
-                    at(start, () -> around.calculators().get(i).setAnswerLossShare(t.size()));
-                    at(end, () -> around.calculators().get(i).setAnswerLossShare(0));
+                affected.forEach(i -> {
+                    runAt(startMs, () -> peers.calculators().get(i).setAnswerLossShare(fault.size()));
+                    runAt(endMs, () -> peers.calculators().get(i).setAnswerLossShare(0));
                 });
             case TURN_AWAY ->
-                struck.forEach(i -> {
-                    at(start, () -> around.calculators().get(i).setRejectAll(true));
-                    at(end, () -> around.calculators().get(i).setRejectAll(false));
+                affected.forEach(i -> {
+                    runAt(startMs, () -> peers.calculators().get(i).setRejectAll(true));
+                    runAt(endMs, () -> peers.calculators().get(i).setRejectAll(false));
                 });
-            case DNS_SILENT -> mood(t, start, end, DnsAuthority.ResponseMode.SILENT);
-            case DNS_LAME -> mood(t, start, end, DnsAuthority.ResponseMode.LAME);
-            case DNS_FORGED -> mood(t, start, end, DnsAuthority.ResponseMode.FORGED);
+            case DNS_SILENT -> scheduleResponseMode(fault, startMs, endMs, DnsAuthority.ResponseMode.SILENT);
+            case DNS_LAME -> scheduleResponseMode(fault, startMs, endMs, DnsAuthority.ResponseMode.LAME);
+            case DNS_FORGED -> scheduleResponseMode(fault, startMs, endMs, DnsAuthority.ResponseMode.FORGED);
             case DNS_SLOW ->
-                some(t.part(), around.authorities().size()).forEach(i -> {
-                    at(
-                            start,
-                            () -> around.authorities().get(i).setDelay(t.size().longValue()));
-                    at(end, () -> around.authorities().get(i).setDelay(0));
+                drawIndices(fault.part(), peers.authorities().size()).forEach(i -> {
+                    runAt(startMs, () -> peers.authorities()
+                            .get(i)
+                            .setDelay(fault.size().longValue()));
+                    runAt(endMs, () -> peers.authorities().get(i).setDelay(0));
                 });
-            default -> throw new IllegalStateException("trouble " + t.kind());
+            default -> throw new IllegalStateException("trouble " + fault.kind());
         }
     }
 
-    private void mood(Scenario.Fault t, double start, double end, DnsAuthority.ResponseMode mood) {
-        some(t.part(), around.authorities().size()).forEach(i -> {
-            at(start, () -> around.authorities().get(i).setResponseMode(mood));
-            at(end, () -> around.authorities().get(i).setResponseMode(DnsAuthority.ResponseMode.NORMAL));
+    private void scheduleResponseMode(
+            Scenario.Fault fault, double startMs, double endMs, DnsAuthority.ResponseMode mood) {
+        drawIndices(fault.part(), peers.authorities().size()).forEach(i -> {
+            runAt(startMs, () -> peers.authorities().get(i).setResponseMode(mood));
+            runAt(endMs, () -> peers.authorities().get(i).setResponseMode(DnsAuthority.ResponseMode.NORMAL));
         });
     }
 
-    private void stall(int front, long ms) {
-        around.logEvent(SimulatedPeers.frontName(front), WireLog.STALL, Long.toString(ms));
-        fronts.get(front).pause(ms);
+    private void pauseFront(int frontIndex, long durationMs) {
+        peers.logEvent(SimulatedPeers.frontName(frontIndex), WireLog.STALL, Long.toString(durationMs));
+        fronts.get(frontIndex).pause(durationMs);
     }
 
-    private void crash(int i, double start, double end) {
-        at(start, () -> {
-            around.calculators().get(i).crash();
-            around.directory().updateDelayed(around.directoryEntry(i), State.GONE, false);
+    private void scheduleCrash(int i, double startMs, double endMs) {
+        runAt(startMs, () -> {
+            peers.calculators().get(i).crash();
+            peers.directory().updateDelayed(peers.directoryEntry(i), State.GONE, false);
         });
-        at(end, () -> restart(i));
+        runAt(endMs, () -> restart(i));
     }
 
     private void restart(int i) throws IOException, InterruptedException {
-        if (!around.calculators().get(i).hasCollapsed()) {
-            around.calculators().get(i).start(null, true);
-            around.directory().updateDelayed(around.directoryEntry(i), State.RUNNING, true);
+        if (!peers.calculators().get(i).hasCollapsed()) {
+            peers.calculators().get(i).start(null, true);
+            peers.directory().updateDelayed(peers.directoryEntry(i), State.RUNNING, true);
         }
     }
 
-    private void vanish(int i, double start, double end) {
-        at(start, () -> around.calculators().get(i).pause());
-        double told = start + scenario.directory().silentNotice().ms();
-        if (told < end) {
-            at(told, () -> around.directory().updateNow(around.directoryEntry(i), State.GONE));
+    private void scheduleVanish(int i, double startMs, double endMs) {
+        runAt(startMs, () -> peers.calculators().get(i).pause());
+        double notifiedMs = startMs + scenario.directory().silentNotice().ms();
+        if (notifiedMs < endMs) {
+            runAt(notifiedMs, () -> peers.directory().updateNow(peers.directoryEntry(i), State.GONE));
         }
-        at(end, () -> {
-            around.calculators().get(i).crash();
+        runAt(endMs, () -> {
+            peers.calculators().get(i).crash();
             restart(i);
         });
     }
 
-    private void deploy(List<Integer> struck, double start, double length) {
-        double each = length / struck.size();
-        for (int k = 0; k < struck.size(); k++) {
-            int i = struck.get(k);
-            double from = start + k * each;
-            at(from, () -> around.directory().updateDelayed(around.directoryEntry(i), State.DRAINING, false));
-            at(from + DRAIN_MS, () -> {
-                around.calculators().get(i).crash();
+    private void scheduleDeploy(List<Integer> affected, double startMs, double lengthMs) {
+        double intervalMs = lengthMs / affected.size();
+        for (int k = 0; k < affected.size(); k++) {
+            int i = affected.get(k);
+            double drainStartMs = startMs + k * intervalMs;
+            runAt(drainStartMs, () -> peers.directory().updateDelayed(peers.directoryEntry(i), State.DRAINING, false));
+            runAt(drainStartMs + DRAIN_TIME_MS, () -> {
+                peers.calculators().get(i).crash();
                 restart(i);
             });
         }
@@ -207,6 +209,6 @@
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/damsonseam/day/ScenarioRun.java
+++ b/src/main/java/damsonseam/day/ScenarioRun.java
@@ -22,9 +22,9 @@
 
 /** Runs a scenario through real fronts and audits what passed the sockets. */
 public final class ScenarioRun {
-    private static final long READY_MS = 10_000;
-    private static final long SETTLE_MS = 20_000;
-    private static final int POLL_MS = 50;
+    private static final long READY_TIMEOUT_MS = 10_000;
+    private static final long COMPLETION_TIMEOUT_MS = 20_000;
+    private static final int POLL_INTERVAL_MS = 50;
 
     /** What decides in the fronts of a day. */
     public enum Decider {
@@ -48,49 +48,49 @@
     private ScenarioRun() {}
 
     /** Runs a scenario; wire logs and world go to {@code out}. */
-    public static Result run(Scenario scenario, Decider decider, Path out, boolean logCalls)
+    public static Result run(Scenario scenario, Decider decider, Path outFolder, boolean logCalls)
             throws IOException, InterruptedException {
-        Path wire = Files.createDirectories(out.resolve("wire"));
+        Path wireFolder = Files.createDirectories(outFolder.resolve("wire"));
         List<FrontServer> fronts = new ArrayList<>();
-        try (SimulatedPeers around = new SimulatedPeers(scenario, wire)) {
-            List<World.FrontAt> places = new ArrayList<>();
+        try (SimulatedPeers peers = new SimulatedPeers(scenario, wireFolder)) {
+            List<World.FrontAt> worldFronts = new ArrayList<>();
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (int i = 0; i < scenario.fronts(); i++) {
-                FrontSettings settings = around.frontSettings(i, new Endpoint("127.0.0.1", 0));
+                FrontSettings settings = peers.frontSettings(i, new Endpoint("127.0.0.1", 0));
                 FrontServer front = start(settings, decider, logCalls);
                 fronts.add(front);
                 addresses.add(front.enumAddress());
-                places.add(new World.FrontAt(
+                worldFronts.add(new World.FrontAt(
                         SimulatedPeers.frontName(i), front.enumAddress().getPort()));
             }
-            AuditFolder.write(out, around.world(places));
+            AuditFolder.write(outFolder, peers.world(worldFronts));
             for (FrontServer front : fronts) {
-                if (!front.awaitReady(READY_MS)) {
-                    throw new IOException("a front was not ready within " + READY_MS + " ms");
+                if (!front.awaitReady(READY_TIMEOUT_MS)) {
+                    throw new IOException("a front was not ready within " + READY_TIMEOUT_MS + " ms");
                 }
             }
-            try (FaultInjector troubles = new FaultInjector(scenario, around, fronts)) {
-                around.callers().start(addresses, scenario.load().callsPerS());
-                troubles.start();
+            try (FaultInjector faultInjector = new FaultInjector(scenario, peers, fronts)) {
+                peers.callers().start(addresses, scenario.load().callsPerS());
+                faultInjector.start();
                 Thread.sleep((long) scenario.length().ms());
-                around.callers().stopArrivals();
-                long until = System.nanoTime() + SETTLE_MS * 1_000_000;
-                while (around.callers().openCalls() > 0 && System.nanoTime() < until) {
-                    Thread.sleep(POLL_MS);
+                peers.callers().stopArrivals();
+                long deadlineNanos = System.nanoTime() + COMPLETION_TIMEOUT_MS * 1_000_000;
+                while (peers.callers().openCalls() > 0 && System.nanoTime() < deadlineNanos) {
+                    Thread.sleep(POLL_INTERVAL_MS);
                 }
             }
-            around.callers().ignoreFurtherDrops();
-            double pause = fronts.stream()
+            peers.callers().ignoreFurtherDrops();
+            double longestPauseMs = fronts.stream()
                     .mapToDouble(f -> f.counters().maxPauseMs)
                     .max()
                     .orElse(0);
-            int fallen = (int)
-                    around.calculators().stream().filter(c -> c.hasCollapsed()).count();
+            int collapsed = (int)
+                    peers.calculators().stream().filter(c -> c.hasCollapsed()).count();
             fronts.forEach(FrontServer::close);
             fronts.clear();
-            CallGenerator.Totals totals = around.callers().totals();
-            around.close();
-            return new Result(totals, AuditFolder.audit(out), pause, fallen);
+            CallGenerator.Totals totals = peers.callers().totals();
+            peers.close();
+            return new Result(totals, AuditFolder.audit(outFolder), longestPauseMs, collapsed);
         } finally {
             fronts.forEach(FrontServer::close);
         }
@@ -101,15 +101,15 @@
         if (decider == Decider.MODULE) {
             return FrontServer.start(settings, logCalls);
         }
-        BiFunction<RoutingPolicy.PolicySettings, RoutingPolicy.PolicyActions, RoutingPolicy> random =
+        BiFunction<RoutingPolicy.PolicySettings, RoutingPolicy.PolicyActions, RoutingPolicy> randomPolicy =
                 RandomRoutingPolicy::new;
-        AdmissionController open = (now, rank, sender, load) -> AdmissionController.ADMIT;
+        AdmissionController admitAll = (now, rank, sender, load) -> AdmissionController.ADMIT;
         return FrontServer.start(
                 settings,
                 new FrontServer.Components(
-                        a -> random.apply(
-                                settings.moduleSettings(settings.front().seed()), a),
-                        () -> open),
+                        actions -> randomPolicy.apply(
+                                settings.moduleSettings(settings.front().seed()), actions),
+                        () -> admitAll),
                 logCalls);
     }
 }
--- a/src/main/java/damsonseam/day/ScenarioSearch.java
+++ b/src/main/java/damsonseam/day/ScenarioSearch.java
@@ -13,73 +13,73 @@
  * next ones are drawn from. Decides only; running a day is its owner's.
  */
 public final class ScenarioSearch {
-    private static final int MOST_FRONTS = 24;
-    private static final double MOST_LOAD = 2_000;
-    private static final double FROM_HARDEST = 0.6;
+    private static final int MAX_FRONTS = 24;
+    private static final double MAX_CALLS_PER_S = 2_000;
+    private static final double HARDEST_PROBABILITY = 0.6;
 
-    private final Scenario given;
+    private final Scenario baseScenario;
     private final SplittableRandom random;
     private Scenario hardest;
     private double minTimeLeftMs = Double.POSITIVE_INFINITY;
-    private int drawn;
+    private int drawnCount;
 
     /** A search around a day; its seed is that of the search too. */
-    public ScenarioSearch(Scenario given) {
-        this.given = given;
-        hardest = given;
-        random = new SplittableRandom(given.seed());
+    public ScenarioSearch(Scenario baseScenario) {
+        this.baseScenario = baseScenario;
+        hardest = baseScenario;
+        random = new SplittableRandom(baseScenario.seed());
     }
 
     /** The next day: first the given one as it is, then others of other seeds, sizes and troubles. */
     public Scenario next() {
-        int n = drawn++;
-        if (n == 0) {
-            return given;
+        int ordinal = drawnCount++;
+        if (ordinal == 0) {
+            return baseScenario;
         }
-        Scenario from = random.nextDouble() < FROM_HARDEST ? hardest : given;
-        List<Scenario.Fault> troubles = new ArrayList<>();
-        for (Scenario.Fault t : from.troubles()) {
-            troubles.add(new Scenario.Fault(
-                    t.kind(),
-                    TimeSpan.ms(t.at().ms() * between(0.7, 1.2)),
-                    TimeSpan.ms(t.duration().ms() * between(0.6, 1.6)),
-                    Math.min(1, t.part() * between(0.6, 1.8)),
-                    size(t)));
+        Scenario origin = random.nextDouble() < HARDEST_PROBABILITY ? hardest : baseScenario;
+        List<Scenario.Fault> faults = new ArrayList<>();
+        for (Scenario.Fault fault : origin.troubles()) {
+            faults.add(new Scenario.Fault(
+                    fault.kind(),
+                    TimeSpan.ms(fault.at().ms() * randomBetween(0.7, 1.2)),
+                    TimeSpan.ms(fault.duration().ms() * randomBetween(0.6, 1.6)),
+                    Math.min(1, fault.part() * randomBetween(0.6, 1.8)),
+                    varySize(fault)));
         }
-        int fronts = (int) Math.round(Math.max(2, Math.min(MOST_FRONTS, from.fronts() * between(0.6, 1.5))));
-        double load = Math.min(MOST_LOAD, from.load().callsPerS() * between(0.7, 1.4));
+        int fronts = (int) Math.round(Math.max(2, Math.min(MAX_FRONTS, origin.fronts() * randomBetween(0.6, 1.5))));
+        double callsPerS = Math.min(MAX_CALLS_PER_S, origin.load().callsPerS() * randomBetween(0.7, 1.4));
         return new Scenario(
-                from.name() + "-" + n,
-                from.length(),
-                given.seed() + n,
+                origin.name() + "-" + ordinal,
+                origin.length(),
+                baseScenario.seed() + ordinal,
                 fronts,
-                from.calculators(),
-                new Scenario.Load(load, from.load().classes()),
-                from.directory(),
-                from.cycle(),
-                troubles);
+                origin.calculators(),
+                new Scenario.Load(callsPerS, origin.load().classes()),
+                origin.directory(),
+                origin.cycle(),
+                faults);
     }
 
-    private double between(double least, double most) {
-        return least + (most - least) * random.nextDouble();
+    private double randomBetween(double min, double max) {
+        return min + (max - min) * random.nextDouble();
     }
 
     /** How bad: shares stay shares, what makes nothing worse stays as it is. */
-    private Double size(Scenario.Fault t) {
-        return switch (t.kind()) {
-            case ANSWER_LOST -> Math.min(0.9, t.size() * between(0.6, 1.8));
-            case SLOW, AGEING, BURST -> Math.max(1, t.size() * between(0.8, 1.4));
-            case FRONT_STALL, STALE_DIRECTORY, DNS_SLOW -> t.size() * between(0.4, 1.5);
-            default -> t.size();
+    private Double varySize(Scenario.Fault fault) {
+        return switch (fault.kind()) {
+            case ANSWER_LOST -> Math.min(0.9, fault.size() * randomBetween(0.6, 1.8));
+            case SLOW, AGEING, BURST -> Math.max(1, fault.size() * randomBetween(0.8, 1.4));
+            case FRONT_STALL, STALE_DIRECTORY, DNS_SLOW -> fault.size() * randomBetween(0.4, 1.5);
+            default -> fault.size();
         };
     }
 
     /** A day was played; it may be the hardest so far. */
-    public void recordResult(Scenario day, AuditReport audit) {
-        double left = Math.min(audit.leastAnswerLeftMs(), audit.leastGuardLeftMs());
-        if (left < minTimeLeftMs) {
-            minTimeLeftMs = left;
-            hardest = day;
+    public void recordResult(Scenario scenario, AuditReport audit) {
+        double timeLeftMs = Math.min(audit.leastAnswerLeftMs(), audit.leastGuardLeftMs());
+        if (timeLeftMs < minTimeLeftMs) {
+            minTimeLeftMs = timeLeftMs;
+            hardest = scenario;
         }
     }
 
--- a/src/main/java/damsonseam/standin/Calculator.java
+++ b/src/main/java/damsonseam/standin/Calculator.java
@@ -38,45 +38,53 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * A stand-in calculator: M3UA and ISUP on a TCP port, a processor with one line behind it, a cold start, and
- * the ways in which one fails. All of it runs on one event loop; its methods may be called from any thread.
+ * A stand-in calculator: an M3UA and ISUP endpoint on a TCP port whose work is done by a simulated processor with
+ * one queue. It models the cold start after a restart and can be made to fail in several ways.
+ *
+ * <p>All state belongs to one event loop. The public methods may be called from any thread, except that those that
+ * wait ({@link #start}, {@link #crash}, {@link #close}) must not be called on that event loop.
  */
 public final class Calculator implements AutoCloseable {
-    private static final int NOTHING = 0;
-    private static final int PRESSED = 2;
-    private static final byte[] NO_OCTETS = new byte[0];
+    private static final int NO_WORK = 0;
+    private static final int REJECT_CONGESTION_LEVEL = 2;
+    private static final byte[] NO_BYTES = new byte[0];
 
     private final String id;
     private final int pointCode;
     private final CalculatorSettings settings;
     private final EventLoop loop;
     private final SplittableRandom random;
-    private final ToDoubleFunction<String> meanHold;
-    private final Consumer<String> cut;
+    private final ToDoubleFunction<String> meanHoldingTimeMs;
+    private final Consumer<String> droppedCallListener;
     private final WireLog wire;
-    private final long origin = System.nanoTime();
-    private final Processor processor;
+    private final long originNanos = System.nanoTime();
+    private final SingleServerQueue processor;
     private final List<Connection> connections = new ArrayList<>();
-    private final ArrayDeque<Double> arrivals = new ArrayDeque<>();
+    private final ArrayDeque<Double> coldArrivalsMs = new ArrayDeque<>();
     private InetSocketAddress address;
-    private Channel listening;
-    private double startedAt = Double.NEGATIVE_INFINITY;
-    private double slowness = 1;
-    private double lossShare;
-    private boolean frozen;
-    private boolean turnAll;
+    private Channel serverChannel;
+    private double coldStartMs = Double.NEGATIVE_INFINITY;
+    private double slowdown = 1;
+    private double answerLossShare;
+    private boolean paused;
+    private boolean rejectAll;
     private boolean collapsed;
-    private int life;
-    private int held;
+    private int processGeneration;
+    private int activeCalls;
     private ServerLoadReport report = ServerLoadReport.NONE;
-    private double reportAt = Double.NEGATIVE_INFINITY;
+    private double reportMadeMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * A calculator that is not started.
+     * Creates a calculator that is not started.
      *
-     * @param meanHold mean length of a call to a number, in milliseconds
-     * @param cut told the number of each standing call that is cut
-     * @param wire where frames are written down, or null
+     * @param id name of the calculator
+     * @param pointCode its signalling point code
+     * @param settings its capacity and behaviour
+     * @param loop event loop that runs it
+     * @param seed seed of holding times and lost answers
+     * @param meanHoldingTimeMs mean holding time of calls to a number, in milliseconds
+     * @param droppedCallListener receives the number of each established call that is dropped
+     * @param wire log of the frames sent and received, or null
      */
     public Calculator(
             String id,
@@ -84,52 +92,59 @@
             CalculatorSettings settings,
             EventLoop loop,
             long seed,
-            ToDoubleFunction<String> meanHold,
-            Consumer<String> cut,
+            ToDoubleFunction<String> meanHoldingTimeMs,
+            Consumer<String> droppedCallListener,
             WireLog wire) {
         this.id = id;
         this.pointCode = pointCode;
         this.settings = settings;
         this.loop = loop;
-        this.meanHold = meanHold;
-        this.cut = cut;
+        this.meanHoldingTimeMs = meanHoldingTimeMs;
+        this.droppedCallListener = droppedCallListener;
         this.wire = wire;
         random = new SplittableRandom(seed);
-        processor = new Processor(at -> {
-            int of = life;
-            Runnable alarm = () -> {
-                if (of == life) {
-                    wake();
+        processor = new SingleServerQueue(dueMs -> {
+            int generation = processGeneration;
+            Runnable wakeUp = () -> {
+                if (generation == processGeneration) {
+                    runProcessor();
                 }
             };
-            // The system's timers are no finer than a millisecond: what is nearer is done as soon as may be.
-            if (at - now() < 0.5) {
-                loop.execute(alarm);
+            // System timers have a resolution of about a millisecond: an earlier deadline runs at once.
+            if (dueMs - nowMs() < 0.5) {
+                loop.execute(wakeUp);
             } else {
-                loop.schedule(alarm, (long) ((at - now()) * 1e6), TimeUnit.NANOSECONDS);
+                loop.schedule(wakeUp, (long) ((dueMs - nowMs()) * 1e6), TimeUnit.NANOSECONDS);
             }
         });
     }
 
-    private double now() {
-        return (System.nanoTime() - origin) / 1e6;
+    private double nowMs() {
+        return (System.nanoTime() - originNanos) / 1e6;
     }
 
-    private void wake() {
-        if (!frozen) {
-            processor.speed(warmth() / slowness);
-            processor.wake(now());
+    private void runProcessor() {
+        if (!paused) {
+            processor.setSpeed(capacityShare() / slowdown);
+            processor.runFinishedJobs(nowMs());
         }
     }
 
-    // ---- Life -------------------------------------------------------------------------------------------
+    // ---- Life cycle and faults
+    // -------------------------------------------------------------------------------------------
 
-    /** Listens, on the port that it had before if it had one; a cold one starts at a part of its capacity. */
-    public void start(InetSocketAddress at, boolean cold) throws IOException, InterruptedException {
+    /**
+     * Starts listening and clears all faults.
+     *
+     * @param requestedAddress address to listen on; ignored after the first start, which a restart takes its
+     *     address from
+     * @param cold whether the processor starts at a share of its capacity and warms up
+     */
+    public void start(InetSocketAddress requestedAddress, boolean cold) throws IOException, InterruptedException {
         if (address == null) {
-            address = LoopbackPorts.lasting(at);
+            address = LoopbackPorts.withFixedPort(requestedAddress);
         }
-        Channel bound = new ServerBootstrap()
+        Channel newChannel = new ServerBootstrap()
                 .group(loop, loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -147,69 +162,74 @@
                 .bind(address)
                 .sync()
                 .channel();
-        address = (InetSocketAddress) bound.localAddress();
+        address = (InetSocketAddress) newChannel.localAddress();
         loop.submit(() -> {
-                    listening = bound;
-                    startedAt = cold ? now() : Double.NEGATIVE_INFINITY;
-                    frozen = false;
+                    serverChannel = newChannel;
+                    coldStartMs = cold ? nowMs() : Double.NEGATIVE_INFINITY;
+                    paused = false;
                     collapsed = false;
-                    turnAll = false;
-                    slowness = 1;
-                    lossShare = 0;
+                    rejectAll = false;
+                    slowdown = 1;
+                    answerLossShare = 0;
                     if (wire != null && cold) {
-                        wire.write("scenario", id, WireLog.STARTED, NO_OCTETS);
+                        wire.write("scenario", id, WireLog.STARTED, NO_BYTES);
                     }
                 })
                 .sync();
     }
 
-    /** The process dies: connections are reset, calls are cut, nothing listens. */
+    /** Simulates the death of the process: resets its connections, drops its calls and stops listening. */
     public void crash() throws InterruptedException {
-        loop.submit(this::die).sync();
+        loop.submit(this::stopProcess).sync();
     }
 
-    private void die() {
-        life++;
-        if (listening != null) {
-            listening.close();
-            listening = null;
+    private void stopProcess() {
+        processGeneration++;
+        if (serverChannel != null) {
+            serverChannel.close();
+            serverChannel = null;
         }
         processor.clear();
-        arrivals.clear();
+        coldArrivalsMs.clear();
         for (Connection connection : List.copyOf(connections)) {
             connection.reset();
         }
     }
 
-    /** The machine goes silent: connections stay, nothing is answered. */
+    /** Pauses the machine: connections stay open, and what they receive meanwhile is discarded unanswered. */
     public void pause() {
-        loop.execute(() -> frozen = true);
+        loop.execute(() -> paused = true);
     }
 
-    /** It goes on where it stopped. */
+    /** Resumes a paused machine with the jobs that it had queued. */
     public void resume() {
         loop.execute(() -> {
-            frozen = false;
-            processor.resume(now());
+            paused = false;
+            processor.resume(nowMs());
         });
     }
 
-    /** Work takes so many times longer. */
-    public void setSlowdown(double times) {
-        loop.execute(() -> slowness = times);
+    /** Makes all work take {@code factor} times as long; 1 restores the normal speed. */
+    public void setSlowdown(double factor) {
+        loop.execute(() -> slowdown = factor);
     }
 
-    /** So great a share of its answers is lost on the way. */
+    /** Sets the share of answers and rejections that is lost on the way, from 0 to 1. */
     public void setAnswerLossShare(double share) {
-        loop.execute(() -> lossShare = share);
+        loop.execute(() -> answerLossShare = share);
     }
 
-    /** It turns all set-ups away, quickly. */
-    public void setRejectAll(boolean on) {
-        loop.execute(() -> turnAll = on);
+    /** Makes it reject all set-ups at no cost, or stops that. */
+    public void setRejectAll(boolean enabled) {
+        loop.execute(() -> rejectAll = enabled);
     }
 
-    /** Tells its connections that it can't be reached, or can again, or is congested (SSNM). */
+    /**
+     * Sends an SSNM message about this destination on all connections.
+     *
+     * @param kind message: DUNA, DAVA or SCON
+     * @param level congestion level; SCON only
+     */
     public void sendDestinationState(Kind kind, int level) {
         M3uaMessage message = kind == Kind.SCON
                 ? M3uaMessage.destinationState(kind, pointCode, M3uaMessage.congestionIndications(level))
@@ -217,99 +237,103 @@
         loop.execute(() -> connections.forEach(c -> c.send(message)));
     }
 
-    /** Sends raw octets on all connections, as a fault. */
-    public void sendRaw(byte[] octets) {
-        loop.execute(() -> connections.forEach(c -> c.channel.writeAndFlush(Unpooled.copiedBuffer(octets))));
+    /** Sends raw bytes on all connections, to simulate malformed messages. */
+    public void sendRaw(byte[] bytes) {
+        loop.execute(() -> connections.forEach(c -> c.channel.writeAndFlush(Unpooled.copiedBuffer(bytes))));
     }
 
-    /** Where it listens. */
+    /** Returns the address that it listens on. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Its name. */
+    /** Returns its name. */
     public String id() {
         return id;
     }
 
-    /** Its signalling point code. */
+    /** Returns its signalling point code. */
     public int pointCode() {
         return pointCode;
     }
 
-    /** Milliseconds since its processor's last cold start, or -1 if that is long ago. */
+    /** Returns the milliseconds since the last start if that was a cold one, else -1. */
     public double coldStartAgeMs() {
-        return startedAt == Double.NEGATIVE_INFINITY ? -1 : now() - startedAt;
+        return coldStartMs == Double.NEGATIVE_INFINITY ? -1 : nowMs() - coldStartMs;
     }
 
-    /** Whether it fell over by too many set-ups while cold; it stays down then. */
+    /** Returns whether it failed by overload while cold; it stays down then unless it is started again. */
     public boolean hasCollapsed() {
         return collapsed;
     }
 
-    private double warmth() {
-        double age = now() - startedAt;
-        double warm = settings.warmWithin().ms();
-        return age >= warm ? 1 : settings.coldFrom() + (1 - settings.coldFrom()) * age / warm;
+    /** Returns the share of the full capacity that the processor has now; it grows linearly while cold. */
+    private double capacityShare() {
+        double ageMs = nowMs() - coldStartMs;
+        double warmWithinMs = settings.warmWithin().ms();
+        return ageMs >= warmWithinMs ? 1 : settings.coldFrom() + (1 - settings.coldFrom()) * ageMs / warmWithinMs;
     }
 
     @Override
     public void close() {
-        loop.submit(this::die).syncUninterruptibly();
+        loop.submit(this::stopProcess).syncUninterruptibly();
     }
 
-    /** Counts what is sent to a cold processor; too much for too long and it falls over for good. */
-    private boolean tips(double now) {
-        if (warmth() >= 1) {
-            arrivals.clear();
+    /** Records a set-up offered now and returns whether those in the last window overload a cold processor. */
+    private boolean exceedsColdCapacity(double nowMs) {
+        if (capacityShare() >= 1) {
+            coldArrivalsMs.clear();
             return false;
         }
-        arrivals.add(now);
-        double window = settings.tipWindow().ms();
-        while (arrivals.peek() <= now - window) {
-            arrivals.poll();
+        coldArrivalsMs.add(nowMs);
+        double windowMs = settings.tipWindow().ms();
+        while (coldArrivalsMs.peek() <= nowMs - windowMs) {
+            coldArrivalsMs.poll();
         }
-        double capacity = settings.setUpsPerS() * warmth() * window / 1_000;
-        // As much slack for chance as four deviations of a Poisson count.
-        return arrivals.size() > settings.tipMultiple() * capacity + 4 * Math.sqrt(settings.tipMultiple() * capacity);
+        double setUpCapacity = settings.setUpsPerS() * capacityShare() * windowMs / 1_000;
+        // Allows for random arrivals: four standard deviations of a Poisson count.
+        return coldArrivalsMs.size()
+                > settings.tipMultiple() * setUpCapacity + 4 * Math.sqrt(settings.tipMultiple() * setUpCapacity);
     }
 
-    private IsupMessage.Parameter reportNow(double now) {
-        if (now - reportAt >= settings.reportEvery().ms()) {
-            reportAt = now;
+    /** Encodes the load report, which is renewed once per report interval. */
+    private IsupMessage.Parameter encodeReport(double nowMs) {
+        if (nowMs - reportMadeMs >= settings.reportEvery().ms()) {
+            reportMadeMs = nowMs;
             report = new ServerLoadReport(
-                    OptionalDouble.of(settings.lines() - held),
+                    OptionalDouble.of(settings.lines() - activeCalls),
                     OptionalDouble.of(settings.lines()),
                     OptionalDouble.empty(),
-                    OptionalDouble.of(processor.busy(now)),
-                    OptionalDouble.of(processor.waiting()));
+                    OptionalDouble.of(processor.utilization(nowMs)),
+                    OptionalDouble.of(processor.queuedSetUps()));
         }
         return LoadReportParameter.encode(report);
     }
 
     // ---- Calls ------------------------------------------------------------------------------------------
 
-    /** One call on a circuit of a connection. */
-    private static final class Held {
+    /** A call on a circuit of a connection. */
+    private static final class CircuitCall {
         final String number;
-        Processor.Job job;
-        boolean standing;
+        SingleServerQueue.Job job;
+        boolean established;
         boolean releasing;
-        boolean over;
+        boolean cleared;
 
-        Held(String number) {
+        CircuitCall(String number) {
             this.number = number;
         }
     }
 
+    /** The M3UA association with one front, and the calls on its circuits. */
     private final class Connection extends SimpleChannelInboundHandler<ByteBuf> {
-        private final Map<Integer, Held> calls = new HashMap<>();
+        private final Map<Integer, CircuitCall> callsByCircuit = new HashMap<>();
         private Channel channel;
-        private String far = "?";
-        private int farPointCode;
-        private boolean up;
-        private boolean active;
-        private boolean gone;
+        private String peerName = "?";
+        private int peerPointCode;
+        private boolean aspUp;
+        private boolean aspActive;
+        private boolean closed;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
@@ -320,23 +344,23 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(this);
-            gone = true;
+            closed = true;
             if (wire != null) {
-                wire.write(far, id, WireLog.CLOSED, NO_OCTETS);
+                wire.write(peerName, id, WireLog.CLOSED, NO_BYTES);
             }
-            List.copyOf(calls.values()).forEach(this::drop);
-            calls.clear();
+            List.copyOf(callsByCircuit.values()).forEach(this::dropCall);
+            callsByCircuit.clear();
         }
 
-        private void drop(Held call) {
+        private void dropCall(CircuitCall call) {
             if (call.job != null) {
-                processor.drop(call.job);
+                processor.cancel(call.job);
             }
-            if (!call.over) {
-                call.over = true;
-                held--;
-                if (call.standing) {
-                    cut.accept(call.number);
+            if (!call.cleared) {
+                call.cleared = true;
+                activeCalls--;
+                if (call.established) {
+                    droppedCallListener.accept(call.number);
                 }
             }
         }
@@ -345,124 +369,124 @@
             try {
                 channel.config().setOption(ChannelOption.SO_LINGER, 0);
             } catch (ChannelException e) {
-                // The far end closed it a moment ago; there is nothing left to reset.
+                // The peer has just closed the connection: there is nothing to reset.
             }
             channel.close();
         }
 
         void send(M3uaMessage message) {
-            byte[] octets = message.encode();
+            byte[] bytes = message.encode();
             if (wire != null) {
-                wire.write(id, far, WireLog.M3UA, octets);
+                wire.write(id, peerName, WireLog.M3UA, bytes);
             }
-            channel.writeAndFlush(Unpooled.wrappedBuffer(octets));
+            channel.writeAndFlush(Unpooled.wrappedBuffer(bytes));
         }
 
         private void send(IsupMessage message) {
-            send(new ProtocolData(pointCode, farPointCode, message.circuit() & 0x0f, message.encode()).toMessage());
+            send(new ProtocolData(pointCode, peerPointCode, message.circuit() & 0x0f, message.encode()).toMessage());
         }
 
-        /** An answer, which may be lost on the way. */
-        private void answer(IsupMessage message) {
-            if (random.nextDouble() >= lossShare) {
+        /** Sends an answer or a rejection, unless it is drawn to be lost. */
+        private void sendWithLoss(IsupMessage message) {
+            if (random.nextDouble() >= answerLossShare) {
                 send(message);
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            if (gone) {
-                // What the process had in its buffers when it died was never read.
+            if (closed) {
+                // A process that dies does not read what is left in its socket buffers.
                 return;
             }
-            byte[] octets = ByteBufUtil.getBytes(frame);
-            if (frozen) {
+            byte[] bytes = ByteBufUtil.getBytes(frame);
+            if (paused) {
                 if (wire != null) {
-                    wire.write(far, id, WireLog.M3UA, octets);
+                    wire.write(peerName, id, WireLog.M3UA, bytes);
                 }
                 return;
             }
             try {
-                M3uaMessage message = M3uaMessage.decode(octets);
+                M3uaMessage message = M3uaMessage.decode(bytes);
                 if (message.kind() == Kind.ASPUP) {
-                    farPointCode = message.intParameter(M3uaMessage.ASP_IDENTIFIER);
-                    far = "front-" + farPointCode;
+                    peerPointCode = message.intParameter(M3uaMessage.ASP_IDENTIFIER);
+                    peerName = "front-" + peerPointCode;
                 }
                 if (wire != null) {
-                    wire.write(far, id, WireLog.M3UA, octets);
+                    wire.write(peerName, id, WireLog.M3UA, bytes);
                 }
-                received(message);
+                onM3uaMessage(message);
             } catch (SignallingProtocolException e) {
-                send(M3uaMessage.error(e.code(), octets));
+                send(M3uaMessage.error(e.code(), bytes));
             }
         }
 
-        private void received(M3uaMessage message) throws SignallingProtocolException {
+        private void onM3uaMessage(M3uaMessage message) throws SignallingProtocolException {
             switch (message.kind()) {
                 case ASPUP -> {
-                    up = true;
+                    aspUp = true;
                     send(M3uaMessage.of(Kind.ASPUP_ACK));
                 }
                 case ASPDN -> {
-                    up = false;
-                    active = false;
+                    aspUp = false;
+                    aspActive = false;
                     send(M3uaMessage.of(Kind.ASPDN_ACK));
                 }
                 case ASPAC -> {
-                    if (!up) {
+                    if (!aspUp) {
                         throw new SignallingProtocolException(M3uaMessage.UNEXPECTED_MESSAGE, "ASPAC while down");
                     }
-                    active = true;
+                    aspActive = true;
                     send(M3uaMessage.of(Kind.ASPAC_ACK));
                 }
                 case ASPIA -> {
-                    active = false;
+                    aspActive = false;
                     send(M3uaMessage.of(Kind.ASPIA_ACK));
                 }
                 case BEAT ->
-                    processor.add(
-                            now(),
+                    processor.submit(
+                            nowMs(),
                             settings.probeWork().ms(),
                             false,
                             () -> send(new M3uaMessage(Kind.BEAT_ACK, message.parameters())));
                 case DATA -> {
-                    if (!active) {
+                    if (!aspActive) {
                         throw new SignallingProtocolException(M3uaMessage.UNEXPECTED_MESSAGE, "DATA while not active");
                     }
-                    isup(IsupMessage.decode(ProtocolData.from(message).isup()));
+                    onIsupMessage(IsupMessage.decode(ProtocolData.from(message).isup()));
                 }
                 default -> {}
             }
-            wake();
+            runProcessor();
         }
 
-        private void isup(IsupMessage message) throws SignallingProtocolException {
+        private void onIsupMessage(IsupMessage message) throws SignallingProtocolException {
             int circuit = message.circuit();
-            Held call = calls.get(circuit);
+            CircuitCall call = callsByCircuit.get(circuit);
             switch (message.type()) {
                 case IAM ->
-                    setUp(
+                    onSetUp(
                             circuit,
                             call,
                             CalledPartyNumber.decode(message.parameterValue(IsupMessage.CALLED_PARTY_NUMBER)));
                 case REL -> {
                     if (call != null) {
-                        calls.remove(circuit);
+                        callsByCircuit.remove(circuit);
                         if (call.job != null) {
-                            processor.drop(call.job);
+                            processor.cancel(call.job);
                         }
-                        if (!call.over) {
-                            call.over = true;
-                            held--;
+                        if (!call.cleared) {
+                            call.cleared = true;
+                            activeCalls--;
                         }
                     }
                     send(IsupMessage.of(circuit, IsupMessage.Type.RLC));
                 }
-                case RLC -> calls.remove(circuit);
+                case RLC -> callsByCircuit.remove(circuit);
                 case RSC -> {
                     if (call != null) {
-                        calls.remove(circuit);
-                        drop(call);
+                        callsByCircuit.remove(circuit);
+                        dropCall(call);
                     }
                     send(IsupMessage.of(circuit, IsupMessage.Type.RLC));
                 }
@@ -470,78 +494,82 @@
             }
         }
 
-        private void setUp(int circuit, Held before, String number) {
-            if (before != null) {
+        private void onSetUp(int circuit, CircuitCall existing, String number) {
+            if (existing != null) {
                 return;
             }
-            double now = now();
-            if (tips(now)) {
+            double nowMs = nowMs();
+            if (exceedsColdCapacity(nowMs)) {
                 collapsed = true;
-                die();
+                stopProcess();
                 return;
             }
-            if (held >= settings.lines()) {
-                turnAway(circuit, IsupMessage.NO_CIRCUIT_AVAILABLE, number);
+            if (activeCalls >= settings.lines()) {
+                reject(circuit, IsupMessage.NO_CIRCUIT_AVAILABLE, number);
                 return;
             }
-            double work = settings.callWork() * settings.setUpShare();
-            if (turnAll || processor.wait(now) > settings.turnAwayAfter().ms()) {
-                turnAway(circuit, IsupMessage.SWITCHING_EQUIPMENT_CONGESTION, number);
+            double workMs = settings.callWorkMs() * settings.setUpShare();
+            if (rejectAll
+                    || processor.waitingTimeMs(nowMs) > settings.turnAwayAfter().ms()) {
+                reject(circuit, IsupMessage.SWITCHING_EQUIPMENT_CONGESTION, number);
                 return;
             }
-            Held call = new Held(number);
-            calls.put(circuit, call);
-            held++;
-            call.job = processor.add(now, work, true, () -> complete(circuit, call));
+            CircuitCall call = new CircuitCall(number);
+            callsByCircuit.put(circuit, call);
+            activeCalls++;
+            call.job = processor.submit(nowMs, workMs, true, () -> completeSetUp(circuit, call));
         }
 
-        private void turnAway(int circuit, int cause, String number) {
-            Held call = new Held(number);
+        private void reject(int circuit, int cause, String number) {
+            CircuitCall call = new CircuitCall(number);
             call.releasing = true;
-            call.over = true;
-            calls.put(circuit, call);
-            double work = turnAll ? NOTHING : settings.callWork() * settings.setUpShare() * settings.rejectShare();
-            call.job = processor.add(
-                    now(),
-                    work,
+            call.cleared = true;
+            callsByCircuit.put(circuit, call);
+            double workMs =
+                    rejectAll ? NO_WORK : settings.callWorkMs() * settings.setUpShare() * settings.rejectShare();
+            call.job = processor.submit(
+                    nowMs(),
+                    workMs,
                     false,
-                    () -> answer(
+                    () -> sendWithLoss(
                             cause == IsupMessage.SWITCHING_EQUIPMENT_CONGESTION
                                     ? IsupMessages.release(
                                             circuit,
                                             cause,
-                                            IsupMessages.automaticCongestionLevel(PRESSED),
-                                            reportNow(now()))
-                                    : IsupMessages.release(circuit, cause, reportNow(now()))));
+                                            IsupMessages.automaticCongestionLevel(REJECT_CONGESTION_LEVEL),
+                                            encodeReport(nowMs()))
+                                    : IsupMessages.release(circuit, cause, encodeReport(nowMs()))));
         }
 
-        /** The set-up is done; the answer waits in line as well. */
-        private void complete(int circuit, Held call) {
-            double rest = settings.callWork() * (1 - settings.setUpShare());
+        /** Sends the ACM for a processed set-up and queues the work of the answer, later that of the release. */
+        private void completeSetUp(int circuit, CircuitCall call) {
+            double remainingWorkMs = settings.callWorkMs() * (1 - settings.setUpShare());
             send(IsupMessages.addressComplete(circuit));
-            call.job = processor.add(now(), rest * 2 / 3, false, () -> {
+            call.job = processor.submit(nowMs(), remainingWorkMs * 2 / 3, false, () -> {
                 call.job = null;
-                call.standing = true;
-                answer(IsupMessage.of(circuit, IsupMessage.Type.ANM, reportNow(now())));
-                double hold = -Math.log(1 - random.nextDouble()) * meanHold.applyAsDouble(call.number);
-                int of = life;
+                call.established = true;
+                sendWithLoss(IsupMessage.of(circuit, IsupMessage.Type.ANM, encodeReport(nowMs())));
+                double holdingTimeMs =
+                        -Math.log(1 - random.nextDouble()) * meanHoldingTimeMs.applyAsDouble(call.number);
+                int generation = processGeneration;
                 loop.schedule(
                         () -> {
-                            if (of == life && !call.over) {
-                                call.job = processor.add(now(), rest / 3, false, () -> hangUp(circuit, call));
+                            if (generation == processGeneration && !call.cleared) {
+                                call.job = processor.submit(
+                                        nowMs(), remainingWorkMs / 3, false, () -> releaseCall(circuit, call));
                             }
                         },
-                        (long) (hold * 1e6),
+                        (long) (holdingTimeMs * 1e6),
                         TimeUnit.NANOSECONDS);
             });
         }
 
-        private void hangUp(int circuit, Held call) {
-            if (!call.over) {
-                call.over = true;
+        private void releaseCall(int circuit, CircuitCall call) {
+            if (!call.cleared) {
+                call.cleared = true;
                 call.releasing = true;
-                held--;
-                send(IsupMessages.release(circuit, IsupMessage.NORMAL_CLEARING, reportNow(now())));
+                activeCalls--;
+                send(IsupMessages.release(circuit, IsupMessage.NORMAL_CLEARING, encodeReport(nowMs())));
             }
         }
 
--- a/src/main/java/damsonseam/standin/CalculatorSettings.java
+++ b/src/main/java/damsonseam/standin/CalculatorSettings.java
@@ -4,19 +4,19 @@
 import damsonseam.config.TimeSpan;
 
 /**
- * What a stand-in calculator can do.
+ * The capacity and behaviour of a stand-in calculator; the component names are YAML keys.
  *
- * @param callsPerS calls a second that its processor can carry when warm
- * @param setUpShare part of a call's work that is its set-up; the rest is answer and release
- * @param rejectShare part of a set-up's work that turning one away costs
- * @param probeWork work of a probe
- * @param turnAwayAfter wait beyond which it turns set-ups away
- * @param lines calls that it can hold
- * @param coldFrom share of its capacity at which it starts
- * @param warmWithin time after which it is warm
- * @param tipMultiple multiple of its present capacity that makes it fall while cold
- * @param tipWindow time for which it must be sent that
- * @param reportEvery how often its load report is made anew
+ * @param callsPerS capacity of its warm processor in calls per second
+ * @param setUpShare share of a call's work that the set-up takes; answer and release take the rest
+ * @param rejectShare share of a set-up's work that rejecting one takes
+ * @param probeWork processor time of a probe
+ * @param turnAwayAfter waiting time in the processor's queue beyond which it rejects set-ups
+ * @param lines maximum number of simultaneous calls
+ * @param coldFrom share of its capacity that it has right after a cold start
+ * @param warmWithin time from a cold start to full capacity
+ * @param tipMultiple multiple of its present capacity at which offered set-ups overload it while cold
+ * @param tipWindow time over which offered set-ups are counted for that
+ * @param reportEvery interval at which its load report is renewed
  */
 public record CalculatorSettings(
         Double callsPerS,
@@ -30,7 +30,7 @@
         Double tipMultiple,
         TimeSpan tipWindow,
         TimeSpan reportEvery) {
-    /** Checks and defaults. */
+    /** Sets defaults for missing values and checks ranges. */
     public CalculatorSettings {
         callsPerS = Preconditions.requireInRange(Preconditions.orDefault(callsPerS, 33.0), 0.1, 1e6, "callsPerS");
         setUpShare = Preconditions.requireInRange(Preconditions.orDefault(setUpShare, 0.6), 0.05, 0.95, "setUpShare");
@@ -45,17 +45,17 @@
         reportEvery = Preconditions.orDefault(reportEvery, TimeSpan.ms(250));
     }
 
-    /** Defaults throughout. */
+    /** Returns settings with the default for every value. */
     public static CalculatorSettings defaults() {
         return new CalculatorSettings(null, null, null, null, null, null, null, null, null, null, null);
     }
 
-    /** Work of a whole call at full speed, in milliseconds. */
-    double callWork() {
+    /** Returns the processor time of a whole call at full speed, in milliseconds. */
+    double callWorkMs() {
         return 1_000 / callsPerS;
     }
 
-    /** Set-ups a second that a warm one can do, answers and releases not counted. */
+    /** Returns the set-ups per second that a warm processor can do if it does no other work. */
     public double setUpsPerS() {
         return callsPerS / setUpShare;
     }
--- a/src/main/java/damsonseam/standin/CallGenerator.java
+++ b/src/main/java/damsonseam/standin/CallGenerator.java
@@ -34,14 +34,28 @@
 import org.xbill.DNS.Type;
 
 /**
- * Callers: open arrivals that do not wait for answers, each asking one front by DNS over UDP, asking again when
- * nothing comes, giving up, and dialling again after a wait. One event loop.
+ * Generates calls as an open Poisson process: the arrival rate does not depend on the answers. Each caller queries one
+ * front by DNS over UDP, retransmits the query while nothing comes, abandons the attempt when its patience ends, and
+ * may redial after a wait.
+ *
+ * <p>All state belongs to one event loop; the public methods may be called from any other thread. Pending attempts are
+ * bounded by the 65536 query ids.
  */
 public final class CallGenerator implements AutoCloseable {
-    private static final int IDS = 1 << 16;
-    private static final double RESEND_MS = 1_000;
+    private static final int QUERY_ID_COUNT = 1 << 16;
+    private static final double RETRANSMIT_INTERVAL_MS = 1_000;
 
-    /** A class of callers: what its numbers begin with, how often it calls, what it bears and is worth. */
+    /**
+     * A class of callers.
+     *
+     * @param prefix digits that its numbers begin with
+     * @param share its share of the calls, relative to the other classes
+     * @param aimMs set-up time within which a call earns its full worth, in milliseconds
+     * @param patienceMs time after which a caller abandons an attempt, in milliseconds
+     * @param worth worth of a call
+     * @param lateShare share of the worth that a call established later earns
+     * @param redials maximum number of redials per call
+     */
     public record CallerClass(
             String prefix,
             double share,
@@ -51,320 +65,334 @@
             double lateShare,
             int redials) {}
 
-    /** What became of the calls; a call's further tries belong to its first. */
+    /** Outcomes of the calls so far. Redials count as attempts of the same call. */
     public static final class Totals {
-        /** First tries. */
+        /** Calls, redials not included. */
         public long calls;
-        /** Tries, redials included. */
+        /** Attempts, redials included. */
         public long attempts;
-        /** Tries answered: stands. */
+        /** Attempts answered with an established call. */
         public long established;
-        /** Tries answered: refused. */
+        /** Attempts that were refused. */
         public long refused;
-        /** Tries answered: failed. */
+        /** Attempts that failed. */
         public long failed;
-        /** Tries given up without an answer. */
+        /** Attempts abandoned without an answer. */
         public long unanswered;
-        /** Standing calls that were cut. */
+        /** Established calls that were dropped. */
         public long dropped;
-        /** Worth offered and earned. */
+        /** Worth of all calls. */
         public double offeredWorth;
-        /** Worth of calls that stood in time and were not cut, late ones in part. */
+        /** Worth of the calls that were established and not dropped; late ones count in part. */
         public double earnedWorth;
 
-        /** Tries that got a final answer. */
+        /** Returns the number of attempts that got a final answer. */
         public long resolved() {
             return established + refused + failed;
         }
 
-        /** Worth earned over worth offered. */
+        /** Returns the earned share of the offered worth. */
         public double earnedShare() {
             return offeredWorth == 0 ? 0 : earnedWorth / offeredWorth;
         }
     }
 
-    private static final class Try {
-        final CallerClass kind;
+    /** One attempt of a caller: the first or a redial. */
+    private static final class CallAttempt {
+        final CallerClass callerClass;
         final String number;
-        final double firstAt;
-        final int redial;
-        int id;
-        double askedAt;
-        InetSocketAddress front;
+        final double firstAttemptMs;
+        final int redialCount;
+        int queryId;
+        double startedMs;
+        InetSocketAddress frontAddress;
         String frontName;
-        byte[] question;
+        byte[] queryBytes;
 
-        Try(CallerClass kind, String number, double firstAt, int redial) {
-            this.kind = kind;
+        CallAttempt(CallerClass callerClass, String number, double firstAttemptMs, int redialCount) {
+            this.callerClass = callerClass;
             this.number = number;
-            this.firstAt = firstAt;
-            this.redial = redial;
+            this.firstAttemptMs = firstAttemptMs;
+            this.redialCount = redialCount;
         }
     }
 
     private final EventLoop loop;
-    private final List<CallerClass> kinds;
+    private final List<CallerClass> classes;
     private final Name suffix;
-    private final Function<SplittableRandom, Integer> destination;
+    private final Function<SplittableRandom, Integer> firstChoice;
     private final SplittableRandom random;
     private final WireLog wire;
-    private final long origin = System.nanoTime();
-    private final Map<Integer, Try> asked = new HashMap<>();
-    private final Map<String, Double> earnedBy = new HashMap<>();
+    private final long originNanos = System.nanoTime();
+    private final Map<Integer, CallAttempt> pendingAttempts = new HashMap<>();
+    private final Map<String, Double> earnedWorthByNumber = new HashMap<>();
     private final Totals totals = new Totals();
     private volatile List<InetSocketAddress> fronts = List.of();
-    private volatile double arrivalRate;
+    private volatile double arrivalsPerS;
     private volatile boolean running;
-    private Channel socket;
-    private String name;
-    private int nextId;
-    private long sequence;
-    private double nextAt;
-    private int waiting;
-    private boolean booksClosed;
+    private Channel channel;
+    private String wireName;
+    private int lastQueryId;
+    private long callSequence;
+    private double nextArrivalMs;
+    private int waitingRedials;
+    private boolean ignoringDrops;
 
     /**
-     * Callers that are not started.
+     * Creates a generator that is not started.
      *
-     * @param destination draws the number of the first-choice calculator for a call
+     * @param loop event loop that runs it
+     * @param suffix domain of the ENUM zone
+     * @param classes classes of callers
+     * @param firstChoice draws the index of the first-choice calculator of a call
+     * @param seed seed of all random draws
+     * @param wire log of the DNS messages sent and received, or null
      */
     public CallGenerator(
             EventLoop loop,
             String suffix,
-            List<CallerClass> kinds,
-            Function<SplittableRandom, Integer> destination,
+            List<CallerClass> classes,
+            Function<SplittableRandom, Integer> firstChoice,
             long seed,
             WireLog wire) {
         this.loop = loop;
         this.suffix = E164Name.parseSuffix(suffix);
-        this.kinds = kinds;
-        this.destination = destination;
+        this.classes = classes;
+        this.firstChoice = firstChoice;
         this.wire = wire;
         random = new SplittableRandom(seed);
     }
 
-    private double now() {
-        return (System.nanoTime() - origin) / 1e6;
+    private double nowMs() {
+        return (System.nanoTime() - originNanos) / 1e6;
     }
 
-    /** Starts calling these fronts, so many calls a second. */
-    public void start(List<InetSocketAddress> to, double callsPerS) throws InterruptedException {
-        fronts = List.copyOf(to);
-        arrivalRate = callsPerS;
-        socket = new Bootstrap()
+    /** Starts calling these fronts at {@code callsPerS} calls per second. */
+    public void start(List<InetSocketAddress> frontAddresses, double callsPerS) throws InterruptedException {
+        fronts = List.copyOf(frontAddresses);
+        arrivalsPerS = callsPerS;
+        channel = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .option(ChannelOption.SO_RCVBUF, 4 << 20)
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                        answered(packet.sender(), ByteBufUtil.getBytes(packet.content()));
+                        onResponse(packet.sender(), ByteBufUtil.getBytes(packet.content()));
                     }
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        // The port of a front that was killed: its callers give up by themselves.
+                        // ICMP port unreachable from a front that was killed: its callers give up by themselves.
                     }
                 })
                 .bind(new InetSocketAddress("127.0.0.1", 0))
                 .sync()
                 .channel();
-        name = "callers:" + ((InetSocketAddress) socket.localAddress()).getPort();
+        wireName = "callers:" + ((InetSocketAddress) channel.localAddress()).getPort();
         running = true;
         loop.execute(() -> {
-            nextAt = now();
-            arrive();
+            nextArrivalMs = nowMs();
+            generateArrivals();
         });
     }
 
-    /** Calls a second from now on. */
+    /** Sets the arrival rate from the next arrival on. */
     public void setRate(double callsPerS) {
-        arrivalRate = callsPerS;
+        arrivalsPerS = callsPerS;
     }
 
-    /** No new calls; those open go on. */
+    /** Stops generating calls; open calls continue, with their redials. */
     public void stopArrivals() {
         running = false;
     }
 
-    /** Calls whose tries are not over. */
+    /** Returns the number of calls that wait for an answer or for their redial. */
     public int openCalls() throws InterruptedException {
         int[] open = new int[1];
-        loop.submit(() -> open[0] = asked.size() + waiting).sync();
+        loop.submit(() -> open[0] = pendingAttempts.size() + waitingRedials).sync();
         return open[0];
     }
 
-    /** What became of the calls so far. */
+    /** Returns the live totals; they are final when no call is open. */
     public Totals totals() {
         return totals;
     }
 
-    /** The day is over: what is cut by taking it down is no loss of the day's. */
+    /** Stops counting dropped calls: those that the shutdown of the calculators drops are no losses of the run. */
     public void ignoreFurtherDrops() throws InterruptedException {
-        loop.submit(() -> booksClosed = true).sync();
+        loop.submit(() -> ignoringDrops = true).sync();
     }
 
-    /** A standing call to this number was cut: it earns nothing. */
+    /** Takes back the worth earned by the established call to this number, which was dropped. */
     public void onCallDropped(String number) {
         loop.execute(() -> {
-            if (booksClosed) {
+            if (ignoringDrops) {
                 return;
             }
-            Double earned = earnedBy.remove(number);
-            if (earned != null) {
-                totals.earnedWorth -= earned;
+            Double earnedWorth = earnedWorthByNumber.remove(number);
+            if (earnedWorth != null) {
+                totals.earnedWorth -= earnedWorth;
                 totals.dropped++;
             }
         });
     }
 
-    private void arrive() {
+    private void generateArrivals() {
         if (!running) {
             return;
         }
-        double now = now();
-        while (nextAt <= now) {
-            CallerClass kind = draw();
-            String number = kind.prefix() + String.format("%02d%07d", destination.apply(random), sequence++);
+        double nowMs = nowMs();
+        while (nextArrivalMs <= nowMs) {
+            CallerClass callerClass = drawClass();
+            String number = callerClass.prefix() + String.format("%02d%07d", firstChoice.apply(random), callSequence++);
             totals.calls++;
-            totals.offeredWorth += kind.worth();
-            // The time of the arrival is when it was due, however late this loop is.
-            ask(new Try(kind, number, nextAt, 0));
-            nextAt += -Math.log(1 - random.nextDouble()) * 1_000 / Math.max(1e-3, arrivalRate);
+            totals.offeredWorth += callerClass.worth();
+            // The arrival counts from the time it was due, even if this event loop is late.
+            startAttempt(new CallAttempt(callerClass, number, nextArrivalMs, 0));
+            nextArrivalMs += -Math.log(1 - random.nextDouble()) * 1_000 / Math.max(1e-3, arrivalsPerS);
         }
-        loop.schedule(this::arrive, (long) ((nextAt - now()) * 1e6), TimeUnit.NANOSECONDS);
+        loop.schedule(this::generateArrivals, (long) ((nextArrivalMs - nowMs()) * 1e6), TimeUnit.NANOSECONDS);
     }
 
-    private CallerClass draw() {
-        double x = random.nextDouble()
-                * kinds.stream().mapToDouble(CallerClass::share).sum();
-        for (CallerClass kind : kinds) {
-            x -= kind.share();
-            if (x < 0) {
-                return kind;
+    private CallerClass drawClass() {
+        double remainder = random.nextDouble()
+                * classes.stream().mapToDouble(CallerClass::share).sum();
+        for (CallerClass callerClass : classes) {
+            remainder -= callerClass.share();
+            if (remainder < 0) {
+                return callerClass;
             }
         }
-        return kinds.get(kinds.size() - 1);
+        return classes.get(classes.size() - 1);
     }
 
-    private void ask(Try attempt) {
+    private void startAttempt(CallAttempt attempt) {
         totals.attempts++;
         do {
-            nextId = (nextId + 1) % IDS;
-        } while (asked.containsKey(nextId) && asked.size() < IDS);
-        attempt.id = nextId;
-        int to = random.nextInt(fronts.size());
-        attempt.front = fronts.get(to);
-        attempt.frontName = "front:" + attempt.front.getPort();
-        Message question = new Message(attempt.id);
-        question.addRecord(
+            lastQueryId = (lastQueryId + 1) % QUERY_ID_COUNT;
+        } while (pendingAttempts.containsKey(lastQueryId) && pendingAttempts.size() < QUERY_ID_COUNT);
+        attempt.queryId = lastQueryId;
+        int frontIndex = random.nextInt(fronts.size());
+        attempt.frontAddress = fronts.get(frontIndex);
+        attempt.frontName = "front:" + attempt.frontAddress.getPort();
+        Message query = new Message(attempt.queryId);
+        query.addRecord(
                 Record.newRecord(E164Name.toName(attempt.number, suffix), Type.NAPTR, DClass.IN), Section.QUESTION);
-        question.addRecord(
+        query.addRecord(
                 new OPTRecord(
                         DnsCodec.MAX_UDP_RESPONSE_BYTES,
                         0,
                         0,
                         0,
-                        List.of(new EdnsCallOption(attempt.redial > 0, Math.round(attempt.kind.patienceMs()))
+                        List.of(new EdnsCallOption(
+                                        attempt.redialCount > 0, Math.round(attempt.callerClass.patienceMs()))
                                 .toOption())),
                 Section.ADDITIONAL);
-        attempt.question = question.toWire();
-        asked.put(attempt.id, attempt);
-        attempt.askedAt = now();
-        send(attempt);
-        resend(attempt);
+        attempt.queryBytes = query.toWire();
+        pendingAttempts.put(attempt.queryId, attempt);
+        attempt.startedMs = nowMs();
+        sendQuery(attempt);
+        scheduleRetransmission(attempt);
         loop.schedule(
                 () -> {
-                    if (asked.remove(attempt.id, attempt)) {
+                    if (pendingAttempts.remove(attempt.queryId, attempt)) {
                         totals.unanswered++;
-                        again(attempt, 0);
+                        scheduleRedial(attempt, 0);
                     }
                 },
-                (long) (attempt.kind.patienceMs() * 1e6),
+                (long) (attempt.callerClass.patienceMs() * 1e6),
                 TimeUnit.NANOSECONDS);
     }
 
-    private void send(Try attempt) {
+    private void sendQuery(CallAttempt attempt) {
         if (wire != null) {
-            wire.write(name, attempt.frontName, WireLog.DNS, attempt.question);
+            wire.write(wireName, attempt.frontName, WireLog.DNS, attempt.queryBytes);
         }
-        socket.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(attempt.question), attempt.front));
+        channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(attempt.queryBytes), attempt.frontAddress));
     }
 
-    private void resend(Try attempt) {
+    private void scheduleRetransmission(CallAttempt attempt) {
         loop.schedule(
                 () -> {
-                    double last = attempt.askedAt + attempt.kind.patienceMs() - RESEND_MS / 2;
-                    if (asked.get(attempt.id) == attempt && now() < last) {
-                        send(attempt);
-                        resend(attempt);
+                    double lastSendMs =
+                            attempt.startedMs + attempt.callerClass.patienceMs() - RETRANSMIT_INTERVAL_MS / 2;
+                    if (pendingAttempts.get(attempt.queryId) == attempt && nowMs() < lastSendMs) {
+                        sendQuery(attempt);
+                        scheduleRetransmission(attempt);
                     }
                 },
-                (long) (RESEND_MS * 1e6),
+                (long) (RETRANSMIT_INTERVAL_MS * 1e6),
                 TimeUnit.NANOSECONDS);
     }
 
-    private void answered(InetSocketAddress from, byte[] octets) {
+    private void onResponse(InetSocketAddress sender, byte[] bytes) {
         if (wire != null) {
-            wire.write("front:" + from.getPort(), name, WireLog.DNS, octets);
+            wire.write("front:" + sender.getPort(), wireName, WireLog.DNS, bytes);
         }
-        Message answer;
+        Message response;
         try {
-            answer = DnsCodec.decode(octets);
+            response = DnsCodec.decode(bytes);
         } catch (DnsFormatException e) {
             return;
         }
-        Try attempt = asked.get(answer.getHeader().getID());
-        if (attempt == null || !attempt.front.equals(from)) {
+        CallAttempt attempt = pendingAttempts.get(response.getHeader().getID());
+        if (attempt == null || !attempt.frontAddress.equals(sender)) {
             return;
         }
-        asked.remove(attempt.id);
-        if (answer.getRcode() == Rcode.NOERROR
-                && !answer.getSection(Section.ANSWER).isEmpty()) {
+        pendingAttempts.remove(attempt.queryId);
+        if (response.getRcode() == Rcode.NOERROR
+                && !response.getSection(Section.ANSWER).isEmpty()) {
             totals.established++;
-            double worth = attempt.kind.worth()
-                    * (now() - attempt.firstAt <= attempt.kind.aimMs() ? 1 : attempt.kind.lateShare());
+            double worth = attempt.callerClass.worth()
+                    * (nowMs() - attempt.firstAttemptMs <= attempt.callerClass.aimMs()
+                            ? 1
+                            : attempt.callerClass.lateShare());
             totals.earnedWorth += worth;
-            earnedBy.put(attempt.number, worth);
-        } else if (isRefusal(answer)) {
+            earnedWorthByNumber.put(attempt.number, worth);
+        } else if (isRefusal(response)) {
             totals.refused++;
-            again(attempt, EdnsCallOption.from(answer.getOPT()).timeMs());
+            scheduleRedial(attempt, EdnsCallOption.from(response.getOPT()).timeMs());
         } else {
             totals.failed++;
-            again(attempt, 0);
+            scheduleRedial(attempt, 0);
         }
     }
 
-    private static boolean isRefusal(Message answer) {
-        OPTRecord opt = answer.getOPT();
+    private static boolean isRefusal(Message response) {
+        OPTRecord opt = response.getOPT();
         return opt != null
                 && opt.getOptions(15).stream()
                         .anyMatch(o -> o instanceof ExtendedErrorCodeOption e
                                 && e.getErrorCode() == EnumResponses.EDE_REFUSED);
     }
 
-    /** Dials again after a wait that grows, or the advised one where that is longer, two callers of three. */
-    private void again(Try attempt, long advised) {
-        if (attempt.redial >= attempt.kind.redials()) {
+    /**
+     * Schedules a redial after an exponential backoff. Two of three callers follow the front's advice where that is
+     * longer.
+     */
+    private void scheduleRedial(CallAttempt attempt, long advisedWaitMs) {
+        if (attempt.redialCount >= attempt.callerClass.redials()) {
             return;
         }
-        double own = 1_000 * Math.pow(2, attempt.redial) * (0.75 + 0.5 * random.nextDouble());
-        double wait = random.nextInt(3) < 2 ? Math.max(own, advised) : own;
-        waiting++;
+        double backoffMs = 1_000 * Math.pow(2, attempt.redialCount) * (0.75 + 0.5 * random.nextDouble());
+        double waitMs = random.nextInt(3) < 2 ? Math.max(backoffMs, advisedWaitMs) : backoffMs;
+        waitingRedials++;
         loop.schedule(
                 () -> {
-                    waiting--;
-                    ask(new Try(attempt.kind, attempt.number, attempt.firstAt, attempt.redial + 1));
+                    waitingRedials--;
+                    startAttempt(new CallAttempt(
+                            attempt.callerClass, attempt.number, attempt.firstAttemptMs, attempt.redialCount + 1));
                 },
-                (long) (wait * 1e6),
+                (long) (waitMs * 1e6),
                 TimeUnit.NANOSECONDS);
     }
 
     @Override
     public void close() {
         running = false;
-        if (socket != null) {
-            socket.close().syncUninterruptibly();
+        if (channel != null) {
+            channel.close().syncUninterruptibly();
         }
     }
 }
--- a/src/main/java/damsonseam/standin/DirectoryServer.java
+++ b/src/main/java/damsonseam/standin/DirectoryServer.java
@@ -22,41 +22,56 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A stand-in pool directory: what it is told of calculators it pushes to the fronts that follow, later by its
- * notice, and can be made later still, silent, or broken.
+ * A stand-in pool directory: a gRPC server that streams changes of the calculators to the fronts that follow it, after
+ * a notification delay. It can be delayed further, silenced or crashed.
+ *
+ * <p>All state belongs to one thread, its executor; the public methods may be called from any other thread. The
+ * last {@value #MAX_KEPT_UPDATES} updates are kept for fronts that reconnect.
  */
 public final class DirectoryServer implements AutoCloseable {
-    private static final int KEPT_VERSIONS = 1_000;
-
-    /** A calculator as the directory lists it. */
+    private static final int MAX_KEPT_UPDATES = 1_000;
+
+    /**
+     * A calculator as the directory lists it.
+     *
+     * @param id name of the calculator
+     * @param index its index among the calculators, from 0
+     * @param address its host and port
+     * @param pointCode its signalling point code
+     */
     public record CalculatorEntry(String id, int index, String address, int pointCode) {}
 
     private final WireLog wire;
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(r -> {
-        Thread t = new Thread(r, "directory");
-        t.setDaemon(true);
-        return t;
+    private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(r -> {
+        Thread thread = new Thread(r, "directory");
+        thread.setDaemon(true);
+        return thread;
     });
     private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final Map<String, Long> startedAt = new HashMap<>();
-    private final List<Update> changes = new ArrayList<>();
+    private final Map<String, Long> coldStartNanos = new HashMap<>();
+    private final List<Update> recentUpdates = new ArrayList<>();
     private final Map<String, StreamObserver<Update>> followers = new LinkedHashMap<>();
     private Server server;
     private InetSocketAddress address;
     private long version = 1;
-    private long noticeMs;
+    private long notificationDelayMs;
     private boolean silent;
 
-    /** A directory that tells of changes after {@code noticeMs}; {@code wire} may be null. */
-    public DirectoryServer(long noticeMs, WireLog wire) {
-        this.noticeMs = noticeMs;
+    /**
+     * Creates a directory that is not started.
+     *
+     * @param notificationDelayMs time from a change to its notification, in milliseconds
+     * @param wire log of the updates sent, or null
+     */
+    public DirectoryServer(long notificationDelayMs, WireLog wire) {
+        this.notificationDelayMs = notificationDelayMs;
         this.wire = wire;
     }
 
-    /** Serves; a restarted one keeps its port. */
-    public InetSocketAddress start(InetSocketAddress at) throws IOException {
+    /** Starts serving; a restarted directory keeps its address and ignores the requested one. */
+    public InetSocketAddress start(InetSocketAddress requestedAddress) throws IOException {
         if (address == null) {
-            address = LoopbackPorts.lasting(at);
+            address = LoopbackPorts.withFixedPort(requestedAddress);
         }
         server = NettyServerBuilder.forAddress(address)
                 .addService(new Service())
@@ -66,59 +81,68 @@
         return address;
     }
 
-    /** The streams break and nothing listens; what is known stays. */
+    /** Breaks all streams and stops listening; the entries are kept for a restart. */
     public void crash() throws InterruptedException {
         server.shutdownNow().awaitTermination(2, TimeUnit.SECONDS);
-        thread.execute(followers::clear);
+        executor.execute(followers::clear);
     }
 
-    /** Changes are told so much later from now on. */
-    public void setNotificationDelay(long ms) {
-        thread.execute(() -> noticeMs = ms);
+    /** Sets the notification delay of the changes that follow. */
+    public void setNotificationDelay(long delayMs) {
+        executor.execute(() -> notificationDelayMs = delayMs);
     }
 
-    /** Tells nothing until told otherwise; then all that was missed. */
-    public void setSilent(boolean on) {
-        thread.execute(() -> {
-            silent = on;
-            if (!on) {
-                List.copyOf(followers.keySet()).forEach(f -> send(f, fullList()));
+    /** Stops all updates, or sends them again, beginning with a full one. */
+    public void setSilent(boolean enabled) {
+        executor.execute(() -> {
+            silent = enabled;
+            if (!enabled) {
+                List.copyOf(followers.keySet()).forEach(f -> send(f, fullUpdate()));
             }
         });
     }
 
-    /** A change of a calculator, told after the notice; a cold start of its processor is told by its age. */
-    public void updateDelayed(CalculatorEntry calculator, State state, boolean startsNow) {
-        long at = System.nanoTime();
-        thread.execute(() ->
-                thread.schedule(() -> apply(calculator, state, startsNow ? at : 0), noticeMs, TimeUnit.MILLISECONDS));
+    /**
+     * Changes a calculator's entry after the notification delay.
+     *
+     * @param calculator calculator that changed
+     * @param state its new state
+     * @param coldStart whether its processor starts cold now; updates then carry its age
+     */
+    public void updateDelayed(CalculatorEntry calculator, State state, boolean coldStart) {
+        long nowNanos = System.nanoTime();
+        executor.execute(() -> executor.schedule(
+                () -> applyChange(calculator, state, coldStart ? nowNanos : 0),
+                notificationDelayMs,
+                TimeUnit.MILLISECONDS));
     }
 
-    /** A change that is told at once. */
+    /** Changes a calculator's entry and sends the update at once. */
     public void updateNow(CalculatorEntry calculator, State state) {
-        thread.execute(() -> apply(calculator, state, 0));
+        executor.execute(() -> applyChange(calculator, state, 0));
     }
 
-    private void apply(CalculatorEntry c, State state, long started) {
+    private void applyChange(CalculatorEntry calculator, State state, long startedNanos) {
         Entry entry = Entry.newBuilder()
-                .setServer(c.id())
-                .setNumber(c.index())
-                .setAddress(c.address())
-                .setPointCode(c.pointCode())
+                .setServer(calculator.id())
+                .setNumber(calculator.index())
+                .setAddress(calculator.address())
+                .setPointCode(calculator.pointCode())
                 .setState(state)
                 .build();
-        if (started != 0) {
-            startedAt.put(c.id(), started);
+        if (startedNanos != 0) {
+            coldStartNanos.put(calculator.id(), startedNanos);
         }
         if (state == State.GONE) {
-            entries.remove(c.id());
+            entries.remove(calculator.id());
         } else {
-            entries.put(c.id(), entry);
+            entries.put(calculator.id(), entry);
         }
         version++;
-        changes.add(Update.newBuilder().setVersion(version).addEntries(entry).build());
-        if (changes.size() > KEPT_VERSIONS) {
-            changes.remove(0);
+        recentUpdates.add(
+                Update.newBuilder().setVersion(version).addEntries(entry).build());
+        if (recentUpdates.size() > MAX_KEPT_UPDATES) {
+            recentUpdates.remove(0);
         }
         if (!silent) {
             followers
@@ -127,87 +151,90 @@
                             f,
                             Update.newBuilder()
                                     .setVersion(version)
-                                    .addEntries(aged(entry))
+                                    .addEntries(withAge(entry))
                                     .build()));
         }
     }
 
-    private Entry aged(Entry entry) {
-        Long started = startedAt.get(entry.getServer());
-        return started == null
+    private Entry withAge(Entry entry) {
+        Long startedNanos = coldStartNanos.get(entry.getServer());
+        return startedNanos == null
                 ? entry
                 : entry.toBuilder()
-                        .setAgeMs((System.nanoTime() - started) / 1_000_000)
+                        .setAgeMs((System.nanoTime() - startedNanos) / 1_000_000)
                         .build();
     }
 
-    private Update fullList() {
+    private Update fullUpdate() {
         Update.Builder full = Update.newBuilder().setVersion(version).setFull(true);
-        entries.values().forEach(e -> full.addEntries(aged(e)));
+        entries.values().forEach(e -> full.addEntries(withAge(e)));
         return full.build();
     }
 
     private void send(String follower, Update update) {
-        StreamObserver<Update> to = followers.get(follower);
-        if (to == null) {
+        StreamObserver<Update> stream = followers.get(follower);
+        if (stream == null) {
             return;
         }
         if (wire != null) {
             wire.write("directory", follower, WireLog.DIRECTORY, update.toByteArray());
         }
         try {
-            to.onNext(update);
+            stream.onNext(update);
         } catch (RuntimeException e) {
-            // Its stream broke a moment ago; it follows again by itself.
+            // The stream has just broken: the front will follow again by itself.
             followers.remove(follower);
         }
     }
 
-    /** Sends an update as it is to all followers, as a fault: out of order, with a gap, or wrong. */
+    /** Sends an update unchanged to all followers, to simulate one that is out of order, has a gap or is wrong. */
     public void sendRaw(Update update) {
-        thread.execute(() -> List.copyOf(followers.keySet()).forEach(f -> send(f, update)));
+        executor.execute(() -> List.copyOf(followers.keySet()).forEach(f -> send(f, update)));
     }
 
-    /** The version of the last change. */
+    /** Returns the version of the last change. */
     public long version() {
         return version;
     }
 
     @Override
     public void close() {
-        // The ends of its streams are told to the thread: it goes when there are none left.
+        // The cancel handlers of the streams use the executor: it must not stop before the server does.
         server.shutdownNow();
         try {
             server.awaitTermination(2, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 
+    /** The gRPC service that fronts follow. */
     private final class Service extends PoolDirectoryGrpc.PoolDirectoryImplBase {
         @Override
-        public void follow(FollowRequest request, StreamObserver<Update> to) {
-            ((ServerCallStreamObserver<Update>) to)
-                    .setOnCancelHandler(() -> thread.execute(() -> followers.remove(request.getFront(), to)));
-            thread.execute(() -> {
-                followers.put(request.getFront(), to);
+        public void follow(FollowRequest request, StreamObserver<Update> stream) {
+            ((ServerCallStreamObserver<Update>) stream)
+                    .setOnCancelHandler(() -> executor.execute(() -> followers.remove(request.getFront(), stream)));
+            executor.execute(() -> {
+                followers.put(request.getFront(), stream);
                 if (silent) {
                     return;
                 }
-                long known = request.getKnownVersion();
-                long oldest = changes.isEmpty() ? version + 1 : changes.get(0).getVersion();
-                if (known > 0 && known <= version && known + 1 >= oldest) {
-                    // All that it missed is still here.
-                    changes.stream()
-                            .filter(u -> u.getVersion() > known)
+                long knownVersion = request.getKnownVersion();
+                long oldestVersion = recentUpdates.isEmpty()
+                        ? version + 1
+                        : recentUpdates.get(0).getVersion();
+                if (knownVersion > 0 && knownVersion <= version && knownVersion + 1 >= oldestVersion) {
+                    // All updates that the front missed are still kept.
+                    recentUpdates.stream()
+                            .filter(u -> u.getVersion() > knownVersion)
                             .forEach(u -> send(
                                     request.getFront(),
                                     u.toBuilder()
-                                            .setEntries(0, aged(u.getEntries(0)))
+                                            .setEntries(0, withAge(u.getEntries(0)))
                                             .build()));
                 } else {
-                    send(request.getFront(), fullList());
+                    send(request.getFront(), fullUpdate());
                 }
             });
         }
--- a/src/main/java/damsonseam/standin/DnsAuthority.java
+++ b/src/main/java/damsonseam/standin/DnsAuthority.java
@@ -38,60 +38,66 @@
 import org.xbill.DNS.SOARecord;
 import org.xbill.DNS.Section;
 
-/** A stand-in authority of the ENUM zone on UDP and TCP, with the ways in which one fails. */
+/**
+ * A stand-in authoritative name server of the ENUM zone, on UDP and TCP, that can be made to fail in several ways.
+ *
+ * <p>Queries are answered on one event loop. The fault settings may be changed from any thread.
+ */
 public final class DnsAuthority implements AutoCloseable {
-    private static final int TCP_OCTETS = 65_535;
-    private static final int LENGTH_OCTETS = 2;
+    private static final int MAX_TCP_MESSAGE_BYTES = 65_535;
+    private static final int LENGTH_PREFIX_BYTES = 2;
 
-    /** How it answers now. */
+    /** How queries are answered. */
     public enum ResponseMode {
-        /** As it should. */
+        /** Correctly. */
         NORMAL,
-        /** Not at all. */
+        /** No response. */
         SILENT,
-        /** That it does not serve the zone. */
+        /** REFUSED and not authoritative, as from a server that does not serve the zone. */
         LAME,
-        /** Over UDP only that the answer does not fit. */
+        /** Over UDP with an empty truncated response, over TCP correctly. */
         TRUNCATED,
-        /** First with a wrong id, then with a wrong question, then as it should. */
+        /** First with a wrong id, then with a wrong question, then correctly. */
         FORGED,
-        /** With octets that are no message. */
+        /** With bytes that cannot be decoded: the query's id and a count of questions that are missing. */
         MALFORMED
     }
 
     private final Name suffix;
     private final Function<String, List<String>> hosts;
     private final EventLoop loop;
-    private final long ttl;
+    private final long ttlS;
     private final SplittableRandom random = new SplittableRandom(1);
     private final AtomicLong queryCount = new AtomicLong();
     private volatile ResponseMode responseMode = ResponseMode.NORMAL;
     private volatile long delayMs;
-    private volatile double loss;
-    private Channel udp;
-    private Channel tcp;
+    private volatile double lossShare;
+    private Channel udpChannel;
+    private Channel tcpChannel;
 
     /**
-     * An authority.
+     * Creates an authority that is not started.
      *
-     * @param hosts the hosts that a number leads to, first choice first; empty for a number that does not exist
-     * @param ttl lifetime of its records in seconds
+     * @param suffix domain of the zone
+     * @param hosts returns the hosts of a number, first choice first; empty for a number that does not exist
+     * @param ttlS time to live of its records, in seconds
+     * @param loop event loop that runs it
      */
-    public DnsAuthority(String suffix, Function<String, List<String>> hosts, long ttl, EventLoop loop) {
+    public DnsAuthority(String suffix, Function<String, List<String>> hosts, long ttlS, EventLoop loop) {
         this.suffix = E164Name.parseSuffix(suffix);
         this.hosts = hosts;
-        this.ttl = ttl;
+        this.ttlS = ttlS;
         this.loop = loop;
     }
 
-    /** Binds UDP and TCP to one port. */
-    public InetSocketAddress start(InetSocketAddress at) throws IOException, InterruptedException {
-        // A port that is free for TCP may be taken for UDP where the system chooses it; one of the range is not.
-        return bind(LoopbackPorts.lasting(at));
+    /** Binds UDP and TCP to the same port and returns the address. */
+    public InetSocketAddress start(InetSocketAddress requestedAddress) throws IOException, InterruptedException {
+        // An ephemeral port that is free for TCP may be in use for UDP; one of the fixed range is not.
+        return bind(LoopbackPorts.withFixedPort(requestedAddress));
     }
 
-    private InetSocketAddress bind(InetSocketAddress at) throws InterruptedException {
-        tcp = new ServerBootstrap()
+    private InetSocketAddress bind(InetSocketAddress requestedAddress) throws InterruptedException {
+        tcpChannel = new ServerBootstrap()
                 .group(loop, loop)
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
@@ -100,35 +106,37 @@
                         channel.pipeline()
                                 .addLast(
                                         new LengthFieldBasedFrameDecoder(
-                                                TCP_OCTETS, 0, LENGTH_OCTETS, 0, LENGTH_OCTETS),
-                                        new LengthFieldPrepender(LENGTH_OCTETS),
+                                                MAX_TCP_MESSAGE_BYTES, 0, LENGTH_PREFIX_BYTES, 0, LENGTH_PREFIX_BYTES),
+                                        new LengthFieldPrepender(LENGTH_PREFIX_BYTES),
                                         new SimpleChannelInboundHandler<ByteBuf>() {
                                             @Override
                                             protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-                                                answer(
+                                                onQuery(
                                                         ByteBufUtil.getBytes(frame),
                                                         true,
-                                                        a -> ctx.writeAndFlush(Unpooled.wrappedBuffer(a)));
+                                                        response ->
+                                                                ctx.writeAndFlush(Unpooled.wrappedBuffer(response)));
                                             }
                                         });
                     }
                 })
-                .bind(at)
+                .bind(requestedAddress)
                 .sync()
                 .channel();
-        InetSocketAddress bound = (InetSocketAddress) tcp.localAddress();
-        udp = new Bootstrap()
+        InetSocketAddress bound = (InetSocketAddress) tcpChannel.localAddress();
+        udpChannel = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .option(ChannelOption.SO_RCVBUF, 1 << 20)
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                        InetSocketAddress from = packet.sender();
-                        answer(
+                        InetSocketAddress sender = packet.sender();
+                        onQuery(
                                 ByteBufUtil.getBytes(packet.content()),
                                 false,
-                                a -> ctx.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(a), from)));
+                                response -> ctx.writeAndFlush(
+                                        new DatagramPacket(Unpooled.wrappedBuffer(response), sender)));
                     }
                 })
                 .bind(bound)
@@ -137,119 +145,121 @@
         return bound;
     }
 
-    /** Changes how it answers. */
-    public void setResponseMode(ResponseMode to) {
-        responseMode = to;
+    /** Sets how queries are answered from now on. */
+    public void setResponseMode(ResponseMode mode) {
+        responseMode = mode;
     }
 
-    /** Answers come so much later. */
+    /** Delays all responses by {@code ms} milliseconds. */
     public void setDelay(long ms) {
         delayMs = ms;
     }
 
-    /** So great a share of its answers is lost. */
+    /** Sets the share of queries that get no response, from 0 to 1. */
     public void setLossShare(double share) {
-        loss = share;
+        lossShare = share;
     }
 
-    /** Questions that came. */
+    /** Returns the number of queries received. */
     public long queryCount() {
         return queryCount.get();
     }
 
-    private void answer(byte[] octets, boolean stream, Consumer<byte[]> to) {
+    private void onQuery(byte[] bytes, boolean overTcp, Consumer<byte[]> responseSender) {
         queryCount.incrementAndGet();
-        if (responseMode == ResponseMode.SILENT || random.nextDouble() < loss) {
+        if (responseMode == ResponseMode.SILENT || random.nextDouble() < lossShare) {
             return;
         }
         Message query;
         try {
-            query = DnsCodec.decode(octets);
+            query = DnsCodec.decode(bytes);
         } catch (DnsFormatException e) {
             return;
         }
         if (query.getQuestion() == null) {
             return;
         }
-        Runnable send = () -> send(query, stream, to);
+        Runnable respond = () -> sendResponse(query, overTcp, responseSender);
         if (delayMs > 0) {
-            loop.schedule(send, delayMs, TimeUnit.MILLISECONDS);
+            loop.schedule(respond, delayMs, TimeUnit.MILLISECONDS);
         } else {
-            send.run();
+            respond.run();
         }
     }
 
-    private void send(Message query, boolean stream, Consumer<byte[]> to) {
+    private void sendResponse(Message query, boolean overTcp, Consumer<byte[]> responseSender) {
         switch (responseMode) {
             case LAME -> {
-                Message reply = start(query);
-                reply.getHeader().unsetFlag(Flags.AA);
-                reply.getHeader().setRcode(Rcode.REFUSED);
-                to.accept(reply.toWire());
+                Message response = newResponse(query);
+                response.getHeader().unsetFlag(Flags.AA);
+                response.getHeader().setRcode(Rcode.REFUSED);
+                responseSender.accept(response.toWire());
             }
             case TRUNCATED -> {
-                Message reply = stream ? full(query) : start(query);
-                if (!stream) {
-                    reply.getHeader().setFlag(Flags.TC);
+                Message response = overTcp ? newFullResponse(query) : newResponse(query);
+                if (!overTcp) {
+                    response.getHeader().setFlag(Flags.TC);
                 }
-                to.accept(reply.toWire());
+                responseSender.accept(response.toWire());
             }
             case FORGED -> {
-                Message wrongId = full(query);
+                Message wrongId = newFullResponse(query);
                 wrongId.getHeader().setID(query.getHeader().getID() ^ 0x5555);
-                to.accept(wrongId.toWire());
+                responseSender.accept(wrongId.toWire());
                 Message wrongName = new Message(query.getHeader().getID());
                 wrongName.getHeader().setFlag(Flags.QR);
                 wrongName.getHeader().setFlag(Flags.AA);
                 wrongName.addRecord(
                         Record.newRecord(suffix, query.getQuestion().getType(), DClass.IN), Section.QUESTION);
-                wrongName.addRecord(rule(suffix, 1, "forged.example.org"), Section.ANSWER);
-                to.accept(wrongName.toWire());
-                to.accept(full(query).toWire());
+                wrongName.addRecord(naptrRecord(suffix, 1, "forged.example.org"), Section.ANSWER);
+                responseSender.accept(wrongName.toWire());
+                responseSender.accept(newFullResponse(query).toWire());
             }
             case MALFORMED -> {
                 byte[] garbage = new byte[40];
                 garbage[0] = (byte) (query.getHeader().getID() >> 8);
                 garbage[1] = (byte) query.getHeader().getID();
                 garbage[5] = 9;
-                to.accept(garbage);
+                responseSender.accept(garbage);
             }
-            default -> to.accept(full(query).toWire(stream ? Message.MAXLENGTH : DnsCodec.MAX_UDP_RESPONSE_BYTES));
+            default ->
+                responseSender.accept(
+                        newFullResponse(query).toWire(overTcp ? Message.MAXLENGTH : DnsCodec.MAX_UDP_RESPONSE_BYTES));
         }
     }
 
-    private static Message start(Message query) {
-        Message reply = new Message(query.getHeader().getID());
-        reply.getHeader().setFlag(Flags.QR);
-        reply.getHeader().setFlag(Flags.AA);
-        reply.addRecord(query.getQuestion(), Section.QUESTION);
-        return reply;
+    private static Message newResponse(Message query) {
+        Message response = new Message(query.getHeader().getID());
+        response.getHeader().setFlag(Flags.QR);
+        response.getHeader().setFlag(Flags.AA);
+        response.addRecord(query.getQuestion(), Section.QUESTION);
+        return response;
     }
 
-    private Message full(Message query) {
-        Message reply = start(query);
-        Name asked = query.getQuestion().getName();
-        String number = asked.subdomain(suffix) ? E164Name.toNumber(asked, suffix) : null;
-        List<String> found = number == null ? List.of() : hosts.apply(number);
-        if (found.isEmpty()) {
-            reply.getHeader().setRcode(Rcode.NXDOMAIN);
-            reply.addRecord(
-                    new SOARecord(suffix, DClass.IN, ttl, suffix, suffix, 1, 3600, 600, 86_400, ttl),
+    private Message newFullResponse(Message query) {
+        Message response = newResponse(query);
+        Name queryName = query.getQuestion().getName();
+        String number = queryName.subdomain(suffix) ? E164Name.toNumber(queryName, suffix) : null;
+        List<String> foundHosts = number == null ? List.of() : hosts.apply(number);
+        if (foundHosts.isEmpty()) {
+            response.getHeader().setRcode(Rcode.NXDOMAIN);
+            response.addRecord(
+                    new SOARecord(suffix, DClass.IN, ttlS, suffix, suffix, 1, 3600, 600, 86_400, ttlS),
                     Section.AUTHORITY);
         }
         int preference = 10;
-        for (String host : found) {
-            reply.addRecord(rule(asked, preference, host), Section.ANSWER);
+        for (String host : foundHosts) {
+            response.addRecord(naptrRecord(queryName, preference, host), Section.ANSWER);
             preference += 10;
         }
-        return reply;
+        return response;
     }
 
-    private NAPTRRecord rule(Name name, int preference, String host) {
+    private NAPTRRecord naptrRecord(Name name, int preference, String host) {
         return new NAPTRRecord(
                 name,
                 DClass.IN,
-                ttl,
+                ttlS,
                 100,
                 preference,
                 "u",
@@ -260,7 +270,7 @@
 
     @Override
     public void close() {
-        udp.close().syncUninterruptibly();
-        tcp.close().syncUninterruptibly();
+        udpChannel.close().syncUninterruptibly();
+        tcpChannel.close().syncUninterruptibly();
     }
 }
--- a/src/main/java/damsonseam/standin/LoopbackPorts.java
+++ b/src/main/java/damsonseam/standin/LoopbackPorts.java
@@ -7,30 +7,30 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Ports for stand-ins that are restarted behind the same address. One that the system chose could, while its owner
- * is down, be given to an outgoing connection (even to one made towards that very port); these lie below the range
- * from which outgoing ports are taken.
+ * Chooses ports for stand-ins that are restarted on the same address. While a stand-in is down, the system could
+ * assign an ephemeral port to an outgoing connection, even to one towards that very port. The ports chosen here lie
+ * below the ephemeral range.
  */
 final class LoopbackPorts {
-    private static final int FIRST = 12_000;
-    private static final int BEYOND = 32_000;
-    private static final int TRIES = 200;
+    private static final int FIRST_PORT = 12_000;
+    private static final int END_PORT = 32_000;
+    private static final int MAX_TRIES = 200;
 
     private LoopbackPorts() {}
 
-    /** The address as it is, or with a free port of the range in the place of port 0. */
-    static InetSocketAddress lasting(InetSocketAddress at) throws IOException {
-        if (at.getPort() != 0) {
-            return at;
+    /** Returns the address unchanged, or with a free port of the range if its port is 0. */
+    static InetSocketAddress withFixedPort(InetSocketAddress address) throws IOException {
+        if (address.getPort() != 0) {
+            return address;
         }
-        for (int i = 0; i < TRIES; i++) {
-            int port = ThreadLocalRandom.current().nextInt(FIRST, BEYOND);
+        for (int i = 0; i < MAX_TRIES; i++) {
+            int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, END_PORT);
             try (ServerSocket probe = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                return new InetSocketAddress(at.getAddress(), probe.getLocalPort());
+                return new InetSocketAddress(address.getAddress(), probe.getLocalPort());
             } catch (IOException e) {
-                // Taken: the next one.
+                // The port is in use: try another.
             }
         }
-        throw new IOException("no free port from " + FIRST + " to " + BEYOND);
+        throw new IOException("no free port from " + FIRST_PORT + " to " + END_PORT);
     }
 }
--- a/src/main/java/damsonseam/standin/NodeRehearsal.java
+++ b/src/main/java/damsonseam/standin/NodeRehearsal.java
@@ -29,39 +29,39 @@
  * that the virtual machine can share it with the nodes that start later.
  */
 public final class NodeRehearsal {
-    private static final int CALLS = 200;
-    private static final int EVERY_MS = 5;
-    private static final int PATIENCE_S = 20;
+    private static final int CALL_COUNT = 200;
+    private static final int CALL_INTERVAL_MS = 5;
+    private static final int COMPLETION_TIMEOUT_S = 20;
     /** A port where nothing listens: the coordinator's absence is part of what is rehearsed. */
-    private static final String NO_COORDINATOR = "127.0.0.1:9";
+    private static final String UNREACHABLE_COORDINATOR = "127.0.0.1:9";
 
     private NodeRehearsal() {}
 
     /** Plays it; returns whether all calls stood. */
     public static boolean run() throws IOException, InterruptedException, SettingsException {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        CountDownLatch standing = new CountDownLatch(CALLS);
+        CountDownLatch unansweredCalls = new CountDownLatch(CALL_COUNT);
         Path file = Files.createTempFile("rehearsal", ".json");
         try (SipServer server = new SipServer(group)) {
-            Files.writeString(file, config(server.port()));
+            Files.writeString(file, nodeConfig(server.port()));
             try (NodeServer node = NodeServer.start(NodeConfig.read(file))) {
                 Channel caller = new Bootstrap()
                         .group(group)
                         .channel(NioSocketChannel.class)
                         .handler(new ChannelInitializer<SocketChannel>() {
                             @Override
-                            protected void initChannel(SocketChannel made) {
-                                made.pipeline().addLast(new SipDecoder(), new Answers(standing));
+                            protected void initChannel(SocketChannel newChannel) {
+                                newChannel.pipeline().addLast(new SipDecoder(), new ResponseHandler(unansweredCalls));
                             }
                         })
                         .connect(node.address())
                         .sync()
                         .channel();
-                for (int i = 0; i < CALLS; i++) {
-                    caller.writeAndFlush(SipEncoder.encode(caller.alloc(), setUp(i)));
-                    Thread.sleep(EVERY_MS);
+                for (int i = 0; i < CALL_COUNT; i++) {
+                    caller.writeAndFlush(SipEncoder.encode(caller.alloc(), newInvite(i)));
+                    Thread.sleep(CALL_INTERVAL_MS);
                 }
-                standing.await(PATIENCE_S, TimeUnit.SECONDS);
+                unansweredCalls.await(COMPLETION_TIMEOUT_S, TimeUnit.SECONDS);
                 caller.close().sync();
                 node.drain();
             }
@@ -69,10 +69,10 @@
             Files.delete(file);
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
-        return standing.getCount() == 0;
+        return unansweredCalls.getCount() == 0;
     }
 
-    private static SipMessage setUp(int call) {
+    private static SipMessage newInvite(int call) {
         return SipMessage.request(
                         SipMessage.INVITE,
                         "sip:" + call + "@net",
@@ -84,13 +84,13 @@
                 .addHeader("X-Legs", "dest:0;width:1;via:-1");
     }
 
-    private static String config(int serverPort) {
+    private static String nodeConfig(int serverPort) {
         ObjectNode root = new ObjectMapper()
                 .createObjectNode()
                 .put("name", "rehearsal")
                 .put("listen", "127.0.0.1:0")
                 .put("seed", "1")
-                .put("coordinator", NO_COORDINATOR);
+                .put("coordinator", UNREACHABLE_COORDINATOR);
         root.putObject("limits").put("sockets", 256).put("memory_mb", 128);
         ObjectNode update = root.putObject("known")
                 .put("index", 1)
@@ -131,11 +131,11 @@
         return root.toString();
     }
 
-    private static final class Answers extends SimpleChannelInboundHandler<SipMessage> {
-        private final CountDownLatch standing;
+    private static final class ResponseHandler extends SimpleChannelInboundHandler<SipMessage> {
+        private final CountDownLatch unansweredCalls;
 
-        Answers(CountDownLatch standing) {
-            this.standing = standing;
+        ResponseHandler(CountDownLatch unansweredCalls) {
+            this.unansweredCalls = unansweredCalls;
         }
 
         @Override
@@ -143,7 +143,7 @@
             if (message.status() == SipMessage.OK) {
                 ctx.writeAndFlush(SipEncoder.encode(
                         ctx.alloc(), SipMessage.request(SipMessage.ACK, "sip:x@net", message.callId(), 1)));
-                standing.countDown();
+                unansweredCalls.countDown();
             }
         }
     }
--- a/src/main/java/damsonseam/standin/RandomRoutingPolicy.java
+++ b/src/main/java/damsonseam/standin/RandomRoutingPolicy.java
@@ -10,22 +10,23 @@
 import java.util.TreeMap;
 
 /**
- * A baseline to compare against, nothing else: each call goes to a calculator drawn at random, with no levels
- * and no refusals, and after a bad end to another one when the release guard has passed.
+ * A baseline for comparisons: sends each call to a running calculator drawn at random, without congestion control
+ * or refusals. After a failed attempt it tries again, when the release guard has passed, until the attempts or the
+ * time run out. Like any policy it is called by one thread.
  */
 public final class RandomRoutingPolicy implements RoutingPolicy {
     private final PolicySettings settings;
-    private final PolicyActions act;
+    private final PolicyActions actions;
     private final SplittableRandom random;
     private final Map<String, ServerState> servers = new TreeMap<>();
-    private final Map<Long, Integer> attempts = new HashMap<>();
-    private final Map<Long, Double> deadlines = new HashMap<>();
-    private final ArrayDeque<Long> ready = new ArrayDeque<>();
+    private final Map<Long, Integer> attemptCounts = new HashMap<>();
+    private final Map<Long, Double> deadlinesMs = new HashMap<>();
+    private final ArrayDeque<Long> readyCalls = new ArrayDeque<>();
 
-    /** A baseline for these settings. */
+    /** Creates a policy; its draws follow the seed of the settings. */
     public RandomRoutingPolicy(PolicySettings settings, PolicyActions actions) {
         this.settings = settings;
-        act = actions;
+        this.actions = actions;
         random = new SplittableRandom(settings.seed());
     }
 
@@ -39,14 +40,14 @@
 
     @Override
     public void onServerListFailure(double now) {
-        act.startTimer(1_000, 0);
+        actions.startTimer(1_000, 0);
     }
 
     @Override
     public void onCallOffered(double now, Call call) {
-        attempts.put(call.id(), 0);
-        deadlines.put(call.id(), now + call.timeLeft() - 40);
-        ready.add(call.id());
+        attemptCounts.put(call.id(), 0);
+        deadlinesMs.put(call.id(), now + call.timeLeft() - 40);
+        readyCalls.add(call.id());
     }
 
     @Override
@@ -55,24 +56,25 @@
     }
 
     @Override
-    public void onAttemptOutcome(double now, AttemptOutcome e) {
-        if (e.terminal() || !attempts.containsKey(e.callId())) {
-            onCallAbandoned(now, e.callId());
+    public void onAttemptOutcome(double now, AttemptOutcome outcome) {
+        if (outcome.terminal() || !attemptCounts.containsKey(outcome.callId())) {
+            onCallAbandoned(now, outcome.callId());
             return;
         }
-        double guard = settings.releaseGuard().orElse(300) + 10;
-        if (attempts.get(e.callId()) >= settings.maxAttempts().orElse(4) || now + guard >= deadlines.get(e.callId())) {
-            onCallAbandoned(now, e.callId());
-            act.failCall(e.callId());
+        double waitMs = settings.releaseGuard().orElse(300) + 10;
+        if (attemptCounts.get(outcome.callId()) >= settings.maxAttempts().orElse(4)
+                || now + waitMs >= deadlinesMs.get(outcome.callId())) {
+            onCallAbandoned(now, outcome.callId());
+            actions.failCall(outcome.callId());
         } else {
-            act.startTimer(guard, e.callId());
+            actions.startTimer(waitMs, outcome.callId());
         }
     }
 
     @Override
     public void onCallAbandoned(double now, long call) {
-        attempts.remove(call);
-        deadlines.remove(call);
+        attemptCounts.remove(call);
+        deadlinesMs.remove(call);
     }
 
     @Override
@@ -85,16 +87,16 @@
     @Override
     public void onTimer(double now, long token) {
         if (token == 0) {
-            act.followServerList();
-        } else if (attempts.containsKey(token)) {
-            ready.add(token);
+            actions.followServerList();
+        } else if (attemptCounts.containsKey(token)) {
+            readyCalls.add(token);
         }
     }
 
     @Override
     public void onBatchEnd(double now) {
-        for (Long call = ready.poll(); call != null; call = ready.poll()) {
-            if (!attempts.containsKey(call)) {
+        for (Long call = readyCalls.poll(); call != null; call = readyCalls.poll()) {
+            if (!attemptCounts.containsKey(call)) {
                 continue;
             }
             List<String> running = new ArrayList<>();
@@ -105,10 +107,10 @@
             });
             if (running.isEmpty()) {
                 onCallAbandoned(now, call);
-                act.failCall(call);
+                actions.failCall(call);
             } else {
-                attempts.merge(call, 1, Integer::sum);
-                act.sendSetUp(call, running.get(random.nextInt(running.size())), deadlines.get(call));
+                attemptCounts.merge(call, 1, Integer::sum);
+                actions.sendSetUp(call, running.get(random.nextInt(running.size())), deadlinesMs.get(call));
             }
         }
     }
--- a/src/main/java/damsonseam/standin/SimulatedPeers.java
+++ b/src/main/java/damsonseam/standin/SimulatedPeers.java
@@ -23,42 +23,49 @@
     public static final String SUFFIX = "e164.example.org";
 
     private static final int FIRST_POINT_CODE = 1_000;
-    private static final int FIRST_FRONT_CODE = 5_000;
-    private static final int AUTHORITIES = 2;
+    private static final int FIRST_FRONT_POINT_CODE = 5_000;
+    private static final int AUTHORITY_COUNT = 2;
     private static final long RECORD_TTL_S = 60;
-    private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
+    private static final InetSocketAddress LOOPBACK_ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
 
     private final Scenario scenario;
     private final MultiThreadIoEventLoopGroup group;
     private final List<Calculator> calculators = new ArrayList<>();
     private final List<DnsAuthority> authorities = new ArrayList<>();
     private final List<Endpoint> authorityAddresses = new ArrayList<>();
-    private final List<WireLog> logs = new ArrayList<>();
+    private final List<WireLog> wireLogs = new ArrayList<>();
     private final DirectoryServer directory;
     private final Endpoint directoryAddress;
     private final CallGenerator callers;
-    private final WireLog events;
+    private final WireLog eventLog;
     private boolean closed;
 
     /** Starts all; wire logs go to {@code wire}, or nowhere if it is null. */
-    public SimulatedPeers(Scenario scenario, Path wire) throws IOException, InterruptedException {
+    public SimulatedPeers(Scenario scenario, Path wireFolder) throws IOException, InterruptedException {
         this.scenario = scenario;
-        long origin = System.nanoTime();
+        long originNanos = System.nanoTime();
         // One loop each for callers and authorities, two for calculators: none waits for another's work.
         group = new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
         SplittableRandom seeds = new SplittableRandom(scenario.seed());
-        WireLog callerLog = log(wire, "callers", origin);
-        WireLog calculatorLog = log(wire, "calculators", origin);
-        WireLog directoryLog = log(wire, "directory", origin);
-        events = log(wire, "events", origin);
+        WireLog callerLog = openWireLog(wireFolder, "callers", originNanos);
+        WireLog calculatorLog = openWireLog(wireFolder, "calculators", originNanos);
+        WireLog directoryLog = openWireLog(wireFolder, "directory", originNanos);
+        eventLog = openWireLog(wireFolder, "events", originNanos);
         EventLoop callerLoop = (EventLoop) group.next();
-        List<CallGenerator.CallerClass> kinds = new ArrayList<>();
-        for (Scenario.CallerClass k : scenario.load().classes()) {
-            kinds.add(new CallGenerator.CallerClass(
-                    k.prefix(), k.share(), k.aim().ms(), k.patience().ms(), k.worth(), k.lateShare(), k.redials()));
+        List<CallGenerator.CallerClass> callerClasses = new ArrayList<>();
+        for (Scenario.CallerClass callerClass : scenario.load().classes()) {
+            callerClasses.add(new CallGenerator.CallerClass(
+                    callerClass.prefix(),
+                    callerClass.share(),
+                    callerClass.aim().ms(),
+                    callerClass.patience().ms(),
+                    callerClass.worth(),
+                    callerClass.lateShare(),
+                    callerClass.redials()));
         }
         int count = scenario.calculators().count();
-        callers = new CallGenerator(callerLoop, SUFFIX, kinds, r -> r.nextInt(count), seeds.nextLong(), callerLog);
+        callers = new CallGenerator(
+                callerLoop, SUFFIX, callerClasses, r -> r.nextInt(count), seeds.nextLong(), callerLog);
         EventLoop[] calculatorLoops = {(EventLoop) group.next(), (EventLoop) group.next()};
         directory = new DirectoryServer(
                 scenario.directory().notice().ms() > 0
@@ -66,56 +73,56 @@
                         : 0,
                 directoryLog);
         for (int i = 0; i < count; i++) {
-            Calculator c = new Calculator(
-                    name(i),
+            Calculator calculator = new Calculator(
+                    calculatorName(i),
                     FIRST_POINT_CODE + i,
                     scenario.calculators().each(),
                     calculatorLoops[i % 2],
                     seeds.nextLong(),
-                    this::meanHold,
+                    this::meanHoldingTimeMs,
                     callers::onCallDropped,
                     calculatorLog);
-            c.start(ANY_PORT, false);
-            calculators.add(c);
+            calculator.start(LOOPBACK_ANY_PORT, false);
+            calculators.add(calculator);
         }
         EventLoop authorityLoop = (EventLoop) group.next();
-        for (int i = 0; i < AUTHORITIES; i++) {
-            DnsAuthority a = new DnsAuthority(SUFFIX, this::hosts, RECORD_TTL_S, authorityLoop);
-            InetSocketAddress at = a.start(ANY_PORT);
-            authorities.add(a);
-            authorityAddresses.add(new Endpoint(at.getHostString(), at.getPort()));
+        for (int i = 0; i < AUTHORITY_COUNT; i++) {
+            DnsAuthority authority = new DnsAuthority(SUFFIX, this::hostsOf, RECORD_TTL_S, authorityLoop);
+            InetSocketAddress address = authority.start(LOOPBACK_ANY_PORT);
+            authorities.add(authority);
+            authorityAddresses.add(new Endpoint(address.getHostString(), address.getPort()));
         }
-        InetSocketAddress at = directory.start(ANY_PORT);
-        directoryAddress = new Endpoint(at.getHostString(), at.getPort());
+        InetSocketAddress address = directory.start(LOOPBACK_ANY_PORT);
+        directoryAddress = new Endpoint(address.getHostString(), address.getPort());
         for (int i = 0; i < count; i++) {
             directory.updateNow(directoryEntry(i), State.RUNNING);
         }
     }
 
-    private WireLog log(Path wire, String part, long origin) throws IOException {
-        if (wire == null) {
+    private WireLog openWireLog(Path folder, String party, long originNanos) throws IOException {
+        if (folder == null) {
             return null;
         }
-        WireLog log = new WireLog(wire.resolve(part + ".jsonl"), origin);
-        logs.add(log);
+        WireLog log = new WireLog(folder.resolve(party + ".jsonl"), originNanos);
+        wireLogs.add(log);
         return log;
     }
 
-    private static String name(int i) {
-        return String.format("calc-%02d.example.org", i);
+    private static String calculatorName(int index) {
+        return String.format("calc-%02d.example.org", index);
     }
 
     /** The first choice is in the number, the others follow it. */
-    private List<String> hosts(String number) {
+    private List<String> hostsOf(String number) {
         int count = scenario.calculators().count();
-        for (Scenario.CallerClass kind : scenario.load().classes()) {
-            if (number.startsWith(kind.prefix())
-                    && number.length() == kind.prefix().length() + 9) {
-                int first = Integer.parseInt(
-                        number.substring(kind.prefix().length(), kind.prefix().length() + 2));
+        for (Scenario.CallerClass callerClass : scenario.load().classes()) {
+            if (number.startsWith(callerClass.prefix())
+                    && number.length() == callerClass.prefix().length() + 9) {
+                int firstChoice = Integer.parseInt(number.substring(
+                        callerClass.prefix().length(), callerClass.prefix().length() + 2));
                 List<String> hosts = new ArrayList<>();
-                for (int i = 0; i < count && first < count; i++) {
-                    hosts.add(name((first + i) % count));
+                for (int i = 0; i < count && firstChoice < count; i++) {
+                    hosts.add(calculatorName((firstChoice + i) % count));
                 }
                 return hosts;
             }
@@ -123,7 +130,7 @@
         return List.of();
     }
 
-    private double meanHold(String number) {
+    private double meanHoldingTimeMs(String number) {
         return scenario.load().classes().stream()
                 .filter(k -> number.startsWith(k.prefix()))
                 .mapToDouble(k -> k.hold().ms())
@@ -137,16 +144,23 @@
     }
 
     /** Settings for a front of this scenario; they are what an operator would write. */
-    public FrontSettings frontSettings(int ordinal, Endpoint listen) {
+    public FrontSettings frontSettings(int frontIndex, Endpoint listen) {
         List<FrontSettings.CallClassSettings> classes = new ArrayList<>();
         List<FrontSettings.NumberRange> numbers = new ArrayList<>();
-        for (Scenario.CallerClass k : scenario.load().classes()) {
-            classes.add(new FrontSettings.CallClassSettings(k.name(), k.aim(), k.deadline(), k.worth(), k.lateShare()));
-            numbers.add(new FrontSettings.NumberRange(k.prefix(), k.name(), k.patience()));
+        for (Scenario.CallerClass callerClass : scenario.load().classes()) {
+            classes.add(new FrontSettings.CallClassSettings(
+                    callerClass.name(),
+                    callerClass.aim(),
+                    callerClass.deadline(),
+                    callerClass.worth(),
+                    callerClass.lateShare()));
+            numbers.add(
+                    new FrontSettings.NumberRange(callerClass.prefix(), callerClass.name(), callerClass.patience()));
         }
         CalculatorSettings each = scenario.calculators().each();
         return new FrontSettings(
-                new FrontSettings.Identity(frontName(ordinal), FIRST_FRONT_CODE + ordinal, scenario.seed() + ordinal),
+                new FrontSettings.Identity(
+                        frontName(frontIndex), FIRST_FRONT_POINT_CODE + frontIndex, scenario.seed() + frontIndex),
                 new FrontSettings.EnumSettings(listen, SUFFIX, null, null),
                 classes,
                 numbers,
@@ -169,8 +183,8 @@
     }
 
     /** The name of a front, as its point code tells it too. */
-    public static String frontName(int ordinal) {
-        return "front-" + (FIRST_FRONT_CODE + ordinal);
+    public static String frontName(int frontIndex) {
+        return "front-" + (FIRST_FRONT_POINT_CODE + frontIndex);
     }
 
     /** What the auditor must know of this run. */
@@ -179,14 +193,14 @@
         List<World.Numbers> numbers = scenario.load().classes().stream()
                 .map(k -> new World.Numbers(k.prefix(), k.patience().ms()))
                 .toList();
-        List<World.Calculator> all = calculators.stream()
+        List<World.Calculator> worldCalculators = calculators.stream()
                 .map(c -> new World.Calculator(c.id(), c.pointCode(), each.setUpsPerS()))
                 .toList();
         return new World(
                 SUFFIX,
                 numbers,
                 fronts,
-                all,
+                worldCalculators,
                 250,
                 each.coldFrom(),
                 each.warmWithin().ms(),
@@ -196,10 +210,10 @@
     }
 
     /** A calculator as the directory lists it. */
-    public DirectoryServer.CalculatorEntry directoryEntry(int i) {
-        Calculator c = calculators.get(i);
+    public DirectoryServer.CalculatorEntry directoryEntry(int index) {
+        Calculator calculator = calculators.get(index);
         return new DirectoryServer.CalculatorEntry(
-                c.id(), i, "127.0.0.1:" + c.address().getPort(), c.pointCode());
+                calculator.id(), index, "127.0.0.1:" + calculator.address().getPort(), calculator.pointCode());
     }
 
     /** The calculators. */
@@ -233,9 +247,9 @@
     }
 
     /** Writes an event that no socket shows into the wire logs. */
-    public void logEvent(String to, String what, String detail) {
-        if (events != null) {
-            events.write("scenario", to, what, detail.getBytes(java.nio.charset.StandardCharsets.US_ASCII));
+    public void logEvent(String party, String event, String detail) {
+        if (eventLog != null) {
+            eventLog.write("scenario", party, event, detail.getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         }
     }
 
@@ -250,7 +264,7 @@
         authorities.forEach(DnsAuthority::close);
         directory.close();
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
-        for (WireLog log : logs) {
+        for (WireLog log : wireLogs) {
             try {
                 log.close();
             } catch (IOException e) {
--- a/src/main/java/damsonseam/standin/SipServer.java
+++ b/src/main/java/damsonseam/standin/SipServer.java
@@ -18,7 +18,7 @@
 
 /** A signalling server of the platform's protocol that takes every call and ends it soon after. */
 final class SipServer implements AutoCloseable {
-    private static final int HOLD_MS = 20;
+    private static final int HOLDING_TIME_MS = 20;
     private final Channel channel;
 
     /** Listens on loopback, on a port that the system chooses. */
@@ -28,8 +28,8 @@
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel made) {
-                        made.pipeline().addLast(new SipDecoder(), new Session());
+                    protected void initChannel(SocketChannel newChannel) {
+                        newChannel.pipeline().addLast(new SipDecoder(), new ConnectionHandler());
                     }
                 })
                 .bind(InetAddress.getLoopbackAddress(), 0)
@@ -46,7 +46,7 @@
         channel.close();
     }
 
-    private static final class Session extends SimpleChannelInboundHandler<SipMessage> {
+    private static final class ConnectionHandler extends SimpleChannelInboundHandler<SipMessage> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             send(
@@ -70,7 +70,7 @@
                                                             SipMessage.BYE, message.requestUri(), message.callId(), 2)
                                                     .addHeader(SipHeaders.REASON, "Q.850;cause=16")
                                                     .addHeader("X-Occupancy", "spare:40;total:40")),
-                                    HOLD_MS,
+                                    HOLDING_TIME_MS,
                                     TimeUnit.MILLISECONDS);
                 }
                 case SipMessage.OPTIONS ->
--- a/src/main/java/damsonseam/standin/package-info.java
+++ b/src/main/java/damsonseam/standin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Stand-ins for what surrounds a front, from the public specifications, for tests, the demo and scripted bad
- * days. Loopback only.
+ * Simulated peers of a front, written from the public specifications, for tests, the demo and scripted scenario
+ * runs. They listen on loopback only.
  */
 package damsonseam.standin;
--- a/src/test/java/damsonseam/day/ScenarioRunTest.java
+++ b/src/test/java/damsonseam/day/ScenarioRunTest.java
@@ -11,7 +11,7 @@
 
 /** The CI version of a bad day: seconds long, all kinds of parts, rules checked from the wire. */
 class ScenarioRunTest {
-    private static final String SHORT =
+    private static final String SHORT_SCENARIO =
             """
             name: short
             length: 9 s
@@ -31,9 +31,9 @@
             """;
 
     @Test
-    void aShortBadDayKeepsTheRules(@TempDir Path out) throws Exception {
-        Scenario scenario = Yaml.parse("short", SHORT, Scenario.class);
-        ScenarioRun.Result result = ScenarioRun.run(scenario, ScenarioRun.Decider.MODULE, out, false);
+    void shortScenarioWithFaultsBreaksNoRule(@TempDir Path outFolder) throws Exception {
+        Scenario scenario = Yaml.parse("short", SHORT_SCENARIO, Scenario.class);
+        ScenarioRun.Result result = ScenarioRun.run(scenario, ScenarioRun.Decider.MODULE, outFolder, false);
         assertEquals(0, result.audit().violations(), result.audit().findings().toString());
         assertTrue(result.audit().calls() > 500, "calls " + result.audit().calls());
         assertEquals(result.audit().calls(), result.audit().resolved());
--- a/src/test/java/damsonseam/day/ScenarioSearchTest.java
+++ b/src/test/java/damsonseam/day/ScenarioSearchTest.java
@@ -31,57 +31,57 @@
 
 class ScenarioSearchTest {
 
-    private static Scenario standard() throws Exception {
+    private static Scenario standardScenario() throws Exception {
         try (var in = ScenarioSearchTest.class.getResourceAsStream("/bad-day.yaml")) {
             return Yaml.parse("bad-day.yaml", new String(in.readAllBytes(), StandardCharsets.UTF_8), Scenario.class);
         }
     }
 
-    private static AuditReport left(double answer, double guard) {
-        return new AuditReport(1, 0, 0, 1, 1, 0, 0, 1, 0, Map.of(), List.of(), answer, guard);
+    private static AuditReport reportWithTimeLeft(double answerLeftMs, double guardLeftMs) {
+        return new AuditReport(1, 0, 0, 1, 1, 0, 0, 1, 0, Map.of(), List.of(), answerLeftMs, guardLeftMs);
     }
 
     @Test
-    void theFirstDayIsTheGivenOneAndAllAreDrawnBySeedWithinBounds() throws Exception {
-        ScenarioSearch one = new ScenarioSearch(standard());
-        ScenarioSearch other = new ScenarioSearch(standard());
-        Scenario first = one.next();
-        assertEquals(standard(), first);
-        other.next();
+    void firstScenarioIsTheBaseAndAllAreDrawnFromTheSeedWithinBounds() throws Exception {
+        ScenarioSearch search = new ScenarioSearch(standardScenario());
+        ScenarioSearch sameSeedSearch = new ScenarioSearch(standardScenario());
+        Scenario first = search.next();
+        assertEquals(standardScenario(), first);
+        sameSeedSearch.next();
         for (int i = 1; i < 300; i++) {
-            Scenario day = one.next();
-            assertEquals(day, other.next(), "the same seed, the same days");
-            assertNotEquals(first.seed(), day.seed());
-            assertTrue(day.fronts() >= 2 && day.fronts() <= 24);
-            assertTrue(day.load().callsPerS() <= 2_000);
-            assertTrue(day.troubles().stream().allMatch(t -> t.part() <= 1 && t.size() > 0));
-            one.recordResult(day, left(1_000 - i, 500));
-            other.recordResult(day, left(1_000 - i, 500));
+            Scenario scenario = search.next();
+            assertEquals(scenario, sameSeedSearch.next(), "the same seed, the same days");
+            assertNotEquals(first.seed(), scenario.seed());
+            assertTrue(scenario.fronts() >= 2 && scenario.fronts() <= 24);
+            assertTrue(scenario.load().callsPerS() <= 2_000);
+            assertTrue(scenario.troubles().stream().allMatch(t -> t.part() <= 1 && t.size() > 0));
+            search.recordResult(scenario, reportWithTimeLeft(1_000 - i, 500));
+            sameSeedSearch.recordResult(scenario, reportWithTimeLeft(1_000 - i, 500));
         }
-        assertEquals(500, one.minTimeLeftMs());
+        assertEquals(500, search.minTimeLeftMs());
     }
 
     /** Most days go on from the one that came nearest to a broken rule. */
     @Test
-    void goesOnFromTheHardest() throws Exception {
-        ScenarioSearch search = new ScenarioSearch(standard());
-        search.recordResult(search.next(), left(900, 900));
-        Scenario hard = null;
-        for (int i = 0; i < 50 && hard == null; i++) {
-            Scenario day = search.next();
-            hard = day.fronts() > 10 ? day : null;
+    void drawsMostScenariosFromTheHardest() throws Exception {
+        ScenarioSearch search = new ScenarioSearch(standardScenario());
+        search.recordResult(search.next(), reportWithTimeLeft(900, 900));
+        Scenario hardest = null;
+        for (int i = 0; i < 50 && hardest == null; i++) {
+            Scenario scenario = search.next();
+            hardest = scenario.fronts() > 10 ? scenario : null;
         }
-        search.recordResult(hard, left(3, 900));
-        int from = 0;
+        search.recordResult(hardest, reportWithTimeLeft(3, 900));
+        int drawnFromHardest = 0;
         for (int i = 0; i < 100; i++) {
-            from += search.next().name().startsWith(hard.name() + "-") ? 1 : 0;
+            drawnFromHardest += search.next().name().startsWith(hardest.name() + "-") ? 1 : 0;
         }
-        assertTrue(from > 40 && from < 80, from + " of 100 from the hardest");
+        assertTrue(drawnFromHardest > 40 && drawnFromHardest < 80, drawnFromHardest + " of 100 from the hardest");
         assertEquals(3, search.minTimeLeftMs());
     }
 
     @Test
-    void tellsTheStoryOfTheCallThatAFindingNames(@TempDir Path folder) throws Exception {
+    void callTraceShowsTheMessagesOfTheCallThatAFindingNames(@TempDir Path folder) throws Exception {
         Files.createDirectories(folder.resolve("wire"));
         String number = "59821000000007";
         Message question = new Message(7);
@@ -95,29 +95,33 @@
         try (WireLog log = new WireLog(folder.resolve("wire").resolve("a.jsonl"), System.nanoTime())) {
             log.write(100, "callers:1", "front:53", WireLog.DNS, question.toWire());
             log.write(
-                    200, "front-5000", "a", WireLog.M3UA, signal(IsupMessages.initialAddress(3, number, 10, 1, 5_000)));
+                    200,
+                    "front-5000",
+                    "a",
+                    WireLog.M3UA,
+                    encodeData(IsupMessages.initialAddress(3, number, 10, 1, 5_000)));
             log.write(
                     210,
                     "front-5000",
                     "a",
                     WireLog.M3UA,
-                    signal(IsupMessages.initialAddress(4, "59821000000008", 10, 1, 5_000)));
-            log.write(300, "front-5000", "a", WireLog.M3UA, signal(IsupMessages.release(3, 102)));
-            log.write(310, "front-5000", "a", WireLog.M3UA, signal(IsupMessages.release(4, 102)));
+                    encodeData(IsupMessages.initialAddress(4, "59821000000008", 10, 1, 5_000)));
+            log.write(300, "front-5000", "a", WireLog.M3UA, encodeData(IsupMessages.release(3, 102)));
+            log.write(310, "front-5000", "a", WireLog.M3UA, encodeData(IsupMessages.release(4, 102)));
             log.write(400, "front:53", "callers:1", WireLog.DNS, answer.toWire());
         }
-        List<String> story = CallStory.of(folder, new Finding(5, 300, "front-5000", "set-up for " + number));
+        List<String> trace = CallStory.of(folder, new Finding(5, 300, "front-5000", "set-up for " + number));
         assertEquals(
                 List.of(
                         "0.000100 s callers:1 > front:53: question 7",
                         "0.000200 s front-5000 > a: IAM on circuit 3",
                         "0.000300 s front-5000 > a: REL cause 102 on circuit 3",
                         "0.000400 s front:53 > callers:1: answer SERVFAIL"),
-                story);
+                trace);
         assertEquals(List.of(), CallStory.of(folder, new Finding(4, 300, "all", "calculator a")));
     }
 
-    private static byte[] signal(IsupMessage message) {
+    private static byte[] encodeData(IsupMessage message) {
         return new ProtocolData(5_000, 1_000, 0, message.encode()).toMessage().encode();
     }
 }
