--- a/src/main/java/damsonseam/day/FaultInjector.java
+++ b/src/main/java/damsonseam/day/FaultInjector.java
@@ -16,11 +16,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Plays the troubles of a scenario on the running parts, at their times. */
+/**
+ * Injects the faults of a scenario into its running peers and fronts, at their times. {@link #start} schedules them
+ * all; they run on one thread.
+ */
 final class FaultInjector implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(FaultInjector.class);
     private static final int AGEING_STEPS = 20;
     private static final long PAUSE_INTERVAL_MS = 3_000;
+    /** Time between the notification that a calculator drains and its replacement. */
     private static final double DRAIN_TIME_MS = 4_000;
 
     private final Scenario scenario;
@@ -33,7 +37,7 @@
         return thread;
     });
 
-    /** Something that may fail as the parts may. */
+    /** One step of a fault. */
     private interface FaultAction {
         void run() throws Exception;
     }
@@ -45,6 +49,7 @@
         random = new SplittableRandom(scenario.seed() ^ 0x7ab1e5);
     }
 
+    /** Schedules all faults of the run, in each cycle. */
     void start() {
         double lengthMs = scenario.length().ms();
         double cycleMs = scenario.cycle() == null ? lengthMs : scenario.cycle().ms();
@@ -63,13 +68,14 @@
                     try {
                         action.run();
                     } catch (Exception e) {
-                        LOG.atError().addKeyValue("error", e.toString()).log("a trouble could not be played");
+                        LOG.atError().addKeyValue("error", e.toString()).log("fault injection failed");
                     }
                 },
                 (long) (timeMs * 1_000),
                 TimeUnit.MICROSECONDS);
     }
 
+    /** Draws a share of the indices below {@code count}, at least one, in random order. */
     private List<Integer> drawIndices(double share, int count) {
         List<Integer> indices = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -113,8 +119,10 @@
             case FRONT_STALL ->
                 drawIndices(fault.part(), fronts.size()).forEach(i -> {
                     double offsetMs = random.nextDouble() * PAUSE_INTERVAL_MS;
-                    for (double pauseMs = startMs + offsetMs; pauseMs < endMs; pauseMs += PAUSE_INTERVAL_MS) {
-                        runAt(pauseMs, () -> pauseFront(i, fault.size().longValue()));
+                    for (double pauseStartMs = startMs + offsetMs;
+                            pauseStartMs < endMs;
+                            pauseStartMs += PAUSE_INTERVAL_MS) {
+                        runAt(pauseStartMs, () -> pauseFront(i, fault.size().longValue()));
                     }
                 });
             case STALE_DIRECTORY -> {
@@ -150,14 +158,14 @@
                             .setDelay(fault.size().longValue()));
                     runAt(endMs, () -> peers.authorities().get(i).setDelay(0));
                 });
-            default -> throw new IllegalStateException("trouble " + fault.kind());
+            default -> throw new IllegalStateException("unknown fault kind " + fault.kind());
         }
     }
 
     private void scheduleResponseMode(
-            Scenario.Fault fault, double startMs, double endMs, DnsAuthority.ResponseMode mood) {
+            Scenario.Fault fault, double startMs, double endMs, DnsAuthority.ResponseMode mode) {
         drawIndices(fault.part(), peers.authorities().size()).forEach(i -> {
-            runAt(startMs, () -> peers.authorities().get(i).setResponseMode(mood));
+            runAt(startMs, () -> peers.authorities().get(i).setResponseMode(mode));
             runAt(endMs, () -> peers.authorities().get(i).setResponseMode(DnsAuthority.ResponseMode.NORMAL));
         });
     }
@@ -167,42 +175,43 @@
         fronts.get(frontIndex).pause(durationMs);
     }
 
-    private void scheduleCrash(int i, double startMs, double endMs) {
+    private void scheduleCrash(int index, double startMs, double endMs) {
         runAt(startMs, () -> {
-            peers.calculators().get(i).crash();
-            peers.directory().updateDelayed(peers.directoryEntry(i), State.GONE, false);
+            peers.calculators().get(index).crash();
+            peers.directory().updateDelayed(peers.directoryEntry(index), State.GONE, false);
         });
-        runAt(endMs, () -> restart(i));
+        runAt(endMs, () -> restart(index));
     }
 
-    private void restart(int i) throws IOException, InterruptedException {
-        if (!peers.calculators().get(i).hasCollapsed()) {
-            peers.calculators().get(i).start(null, true);
-            peers.directory().updateDelayed(peers.directoryEntry(i), State.RUNNING, true);
+    private void restart(int index) throws IOException, InterruptedException {
+        if (!peers.calculators().get(index).hasCollapsed()) {
+            peers.calculators().get(index).start(null, true);
+            peers.directory().updateDelayed(peers.directoryEntry(index), State.RUNNING, true);
         }
     }
 
-    private void scheduleVanish(int i, double startMs, double endMs) {
-        runAt(startMs, () -> peers.calculators().get(i).pause());
+    private void scheduleVanish(int index, double startMs, double endMs) {
+        runAt(startMs, () -> peers.calculators().get(index).pause());
         double notifiedMs = startMs + scenario.directory().silentNotice().ms();
         if (notifiedMs < endMs) {
-            runAt(notifiedMs, () -> peers.directory().updateNow(peers.directoryEntry(i), State.GONE));
+            runAt(notifiedMs, () -> peers.directory().updateNow(peers.directoryEntry(index), State.GONE));
         }
         runAt(endMs, () -> {
-            peers.calculators().get(i).crash();
-            restart(i);
+            peers.calculators().get(index).crash();
+            restart(index);
         });
     }
 
     private void scheduleDeploy(List<Integer> affected, double startMs, double lengthMs) {
         double intervalMs = lengthMs / affected.size();
-        for (int k = 0; k < affected.size(); k++) {
-            int i = affected.get(k);
-            double drainStartMs = startMs + k * intervalMs;
-            runAt(drainStartMs, () -> peers.directory().updateDelayed(peers.directoryEntry(i), State.DRAINING, false));
+        for (int ordinal = 0; ordinal < affected.size(); ordinal++) {
+            int index = affected.get(ordinal);
+            double drainStartMs = startMs + ordinal * intervalMs;
+            runAt(drainStartMs, () -> peers.directory()
+                    .updateDelayed(peers.directoryEntry(index), State.DRAINING, false));
             runAt(drainStartMs + DRAIN_TIME_MS, () -> {
-                peers.calculators().get(i).crash();
-                restart(i);
+                peers.calculators().get(index).crash();
+                restart(index);
             });
         }
     }
--- a/src/main/java/damsonseam/day/ScenarioRun.java
+++ b/src/main/java/damsonseam/day/ScenarioRun.java
@@ -20,34 +20,41 @@
 import java.util.List;
 import java.util.function.BiFunction;
 
-/** Runs a scenario through real fronts and audits what passed the sockets. */
+/** Runs a scenario through real fronts and audits the messages that passed the sockets. */
 public final class ScenarioRun {
     private static final long READY_TIMEOUT_MS = 10_000;
     private static final long COMPLETION_TIMEOUT_MS = 20_000;
     private static final int POLL_INTERVAL_MS = 50;
 
-    /** What decides in the fronts of a day. */
+    /** The routing policy of the fronts of a run. */
     public enum Decider {
-        /** The project's own module. */
+        /** The project's own policy. */
         MODULE,
-        /** A calculator at random, no admission: a baseline. */
+        /** A random calculator without admission control, as a baseline. */
         RANDOM
     }
 
     /**
-     * What a day came to.
+     * The result of a run.
      *
-     * @param totals as the callers count
-     * @param audit as the wire logs show
-     * @param longestPauseMs longest time for which a front's loop did not turn, stalls by the script included
-     * @param collapsedCalculators calculators that were pushed over
+     * @param totals outcomes as the callers count them
+     * @param audit outcomes and broken rules as the wire logs show them
+     * @param longestPauseMs longest pause of a front's event loop in milliseconds, injected pauses included
+     * @param collapsedCalculators number of calculators that failed by overload while cold and are down at the end
      */
     public record Result(
             CallGenerator.Totals totals, AuditReport audit, double longestPauseMs, int collapsedCalculators) {}
 
     private ScenarioRun() {}
 
-    /** Runs a scenario; wire logs and world go to {@code out}. */
+    /**
+     * Runs a scenario and audits it. Blocks until the calls are over and all is closed.
+     *
+     * @param scenario scenario to run
+     * @param decider policy of the fronts
+     * @param outFolder folder for the wire logs and the description of the run
+     * @param logCalls whether the fronts log each call
+     */
     public static Result run(Scenario scenario, Decider decider, Path outFolder, boolean logCalls)
             throws IOException, InterruptedException {
         Path wireFolder = Files.createDirectories(outFolder.resolve("wire"));
--- a/src/main/java/damsonseam/day/ScenarioSearch.java
+++ b/src/main/java/damsonseam/day/ScenarioSearch.java
@@ -8,9 +8,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Draws days around a given one, and goes on from the hardest: how near a day came to a broken rule is told by the
- * least time that was left at an answer and beyond a guard, and a day that came nearer than all before is what the
- * next ones are drawn from. Decides only; running a day is its owner's.
+ * Draws random variations of a scenario to find one that breaks a rule. How near a run came to that is measured by the
+ * minimum time that was left at an answer or beyond a release guard. Most scenarios are varied from the run that came
+ * nearest so far, the others from the base scenario. The owner runs the scenarios; this class only draws them.
  */
 public final class ScenarioSearch {
     private static final int MAX_FRONTS = 24;
@@ -23,14 +23,14 @@
     private double minTimeLeftMs = Double.POSITIVE_INFINITY;
     private int drawnCount;
 
-    /** A search around a day; its seed is that of the search too. */
+    /** Creates a search around a scenario, whose seed is the seed of the search too. */
     public ScenarioSearch(Scenario baseScenario) {
         this.baseScenario = baseScenario;
         hardest = baseScenario;
         random = new SplittableRandom(baseScenario.seed());
     }
 
-    /** The next day: first the given one as it is, then others of other seeds, sizes and troubles. */
+    /** Returns the next scenario: first the base unchanged, then variations of seed, size, load and faults. */
     public Scenario next() {
         int ordinal = drawnCount++;
         if (ordinal == 0) {
@@ -64,7 +64,7 @@
         return min + (max - min) * random.nextDouble();
     }
 
-    /** How bad: shares stay shares, what makes nothing worse stays as it is. */
+    /** Varies the severity of a fault: a share is at most 0.9, a factor at least 1; other kinds keep it unchanged. */
     private Double varySize(Scenario.Fault fault) {
         return switch (fault.kind()) {
             case ANSWER_LOST -> Math.min(0.9, fault.size() * randomBetween(0.6, 1.8));
@@ -74,7 +74,7 @@
         };
     }
 
-    /** A day was played; it may be the hardest so far. */
+    /** Records the audit of a run; later scenarios are varied from it if it is the hardest so far. */
     public void recordResult(Scenario scenario, AuditReport audit) {
         double timeLeftMs = Math.min(audit.leastAnswerLeftMs(), audit.leastGuardLeftMs());
         if (timeLeftMs < minTimeLeftMs) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /** The least time left on any day so far, in milliseconds; negative where a rule was broken. */
+    /** Returns the minimum time left in any run so far, in milliseconds; negative if a rule was broken. */
     public double minTimeLeftMs() {
         return minTimeLeftMs;
     }
--- a/src/main/java/damsonseam/day/package-info.java
+++ b/src/main/java/damsonseam/day/package-info.java
@@ -1,2 +1,2 @@
-/** Scripted days: fronts and stand-ins on loopback, troubles by a script, and the audit of what passed. */
+/** Scripted scenario runs: real fronts and stand-ins on loopback, injected faults, and an audit of the wire logs. */
 package damsonseam.day;
--- a/src/main/java/damsonseam/standin/NodeRehearsal.java
+++ b/src/main/java/damsonseam/standin/NodeRehearsal.java
@@ -25,19 +25,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A front node on loopback with some calls through it: shows that a build serves, and loads what a node loads, so
- * that the virtual machine can share it with the nodes that start later.
+ * Starts a front node on loopback and sends some calls through it. This checks that a build works, and loads the
+ * classes that a node loads, so that the JVM can archive them for the nodes that start later.
  */
 public final class NodeRehearsal {
     private static final int CALL_COUNT = 200;
     private static final int CALL_INTERVAL_MS = 5;
     private static final int COMPLETION_TIMEOUT_S = 20;
-    /** A port where nothing listens: the coordinator's absence is part of what is rehearsed. */
+    /** A port where nothing listens: the rehearsal includes an unreachable coordinator. */
     private static final String UNREACHABLE_COORDINATOR = "127.0.0.1:9";
 
     private NodeRehearsal() {}
 
-    /** Plays it; returns whether all calls stood. */
+    /** Runs the rehearsal and returns whether all calls were established. */
     public static boolean run() throws IOException, InterruptedException, SettingsException {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         CountDownLatch unansweredCalls = new CountDownLatch(CALL_COUNT);
@@ -131,6 +131,7 @@
         return root.toString();
     }
 
+    /** Counts the calls answered with 200 and acknowledges them. */
     private static final class ResponseHandler extends SimpleChannelInboundHandler<SipMessage> {
         private final CountDownLatch unansweredCalls;
 
--- a/src/main/java/damsonseam/standin/Scenario.java
+++ b/src/main/java/damsonseam/standin/Scenario.java
@@ -6,17 +6,18 @@
 import java.util.List;
 
 /**
- * A scripted day: what there is, who calls, and what goes wrong when. Read from YAML.
+ * A scripted scenario: the simulated peers, the load, and the faults with their times. It is read from YAML, whose keys
+ * are the component names.
  *
- * @param name for reports
- * @param length of the day
- * @param seed of everything drawn
- * @param fronts how many
- * @param calculators how many and what they can do
- * @param load who calls
- * @param directory how late it is
- * @param cycle after which the troubles come again; left out they come once
- * @param troubles what goes wrong
+ * @param name name for reports
+ * @param length duration of the run
+ * @param seed seed of all random draws
+ * @param fronts number of fronts
+ * @param calculators number of calculators and their capacity
+ * @param load callers
+ * @param directory delays of the directory
+ * @param cycle period after which the faults are repeated; if absent, they occur once
+ * @param troubles faults
  */
 public record Scenario(
         String name,
@@ -29,7 +30,7 @@
         TimeSpan cycle,
         List<Fault> troubles) {
 
-    /** Checks and defaults. */
+    /** Sets defaults for missing values and checks the others. */
     public Scenario {
         name = Preconditions.orDefault(name, "day");
         length = Preconditions.orDefault(length, TimeSpan.ms(60_000));
@@ -41,18 +42,28 @@
         troubles = Preconditions.orDefault(troubles, List.of());
     }
 
-    /** The calculators: how many, and what each can do. */
+    /**
+     * The calculators.
+     *
+     * @param count number of calculators
+     * @param each capacity and behaviour of each
+     */
     public record Calculators(Integer count, CalculatorSettings each) {
-        /** Checks and defaults. */
+        /** Sets defaults for missing values and checks the others. */
         public Calculators {
             count = Preconditions.requireInRange(Preconditions.orDefault(count, 10), 1, 99, "count");
             each = Preconditions.orDefault(each, CalculatorSettings.defaults());
         }
     }
 
-    /** The callers: first tries a second, and their classes. */
+    /**
+     * The load.
+     *
+     * @param callsPerS calls per second, redials not included
+     * @param classes classes of callers
+     */
     public record Load(Double callsPerS, List<CallerClass> classes) {
-        /** Checks and defaults: nine cheap calls of ten and a dear one. */
+        /** Sets defaults and checks ranges; by default 94 % of the calls are low-worth and 6 % high-worth. */
         public Load {
             callsPerS = Preconditions.requireInRange(Preconditions.orDefault(callsPerS, 240.0), 0.01, 1e6, "callsPerS");
             classes = Preconditions.orDefault(
@@ -86,16 +97,16 @@
     /**
      * A class of callers.
      *
-     * @param name of the class
-     * @param prefix of its numbers
-     * @param share of first tries
-     * @param aim time in which a call is wanted to stand
-     * @param deadline time after which its callers give up for good
-     * @param patience time after which they give a try up
-     * @param worth of a call
-     * @param lateShare part of the worth of a late one
-     * @param hold mean length of a call
-     * @param redials further tries at most
+     * @param name name of the class
+     * @param prefix digits that its numbers begin with
+     * @param share its share of the calls, relative to the other classes
+     * @param aim set-up time within which a call earns its full worth
+     * @param deadline hard limit of the set-up time
+     * @param patience time after which a caller abandons an attempt
+     * @param worth worth of a call
+     * @param lateShare share of the worth that a call established later earns
+     * @param hold mean holding time of a call
+     * @param redials maximum number of redials per call
      */
     public record CallerClass(
             String name,
@@ -108,7 +119,7 @@
             Double lateShare,
             TimeSpan hold,
             Integer redials) {
-        /** Checks and defaults. */
+        /** Sets defaults for missing values and checks the others. */
         public CallerClass {
             Preconditions.requirePresent(name, "name");
             Preconditions.require(
@@ -125,81 +136,86 @@
         }
     }
 
-    /** The directory: how late it tells of a crash or a start, and of a machine that went silent. */
+    /**
+     * The directory.
+     *
+     * @param notice delay of its notification of a crash or a start
+     * @param silentNotice delay of its notification of a machine that went silent
+     */
     public record Directory(TimeSpan notice, TimeSpan silentNotice) {
-        /** Checks and defaults. */
+        /** Sets defaults for missing values and checks the others. */
         public Directory {
             notice = Preconditions.orDefault(notice, TimeSpan.ms(2_000));
             silentNotice = Preconditions.orDefault(silentNotice, TimeSpan.ms(6_000));
         }
     }
 
-    /** The kinds of trouble. */
+    /** The kinds of fault. */
     public enum FaultKind {
-        /** Processes die, calls are cut, they come back cold after the time. */
+        /** Calculator processes die and drop their calls; they start again, cold, at the end. */
         @JsonProperty("crash")
         CRASH,
-        /** Machines go silent and come back cold. */
+        /** Calculators go silent with their connections open; they start again, cold, at the end. */
         @JsonProperty("vanish")
         VANISH,
-        /** Processes stop and go on where they were. */
+        /** Calculators are paused and resumed at the end. */
         @JsonProperty("hang")
         HANG,
-        /** Processors run {@code size} times slower. */
+        /** Calculators' processors run {@code size} times slower. */
         @JsonProperty("slow")
         SLOW,
-        /** Processors run slower and slower, up to {@code size} times, then die once. */
+        /** Calculators' processors slow down to {@code size} times slower; then they crash and restart cold. */
         @JsonProperty("ageing")
         AGEING,
-        /** New processors take the place of old ones, one batch after another, each after a drain. */
+        /** Calculators are replaced by cold ones, one after another, each after a drain. */
         @JsonProperty("deploy")
         DEPLOY,
-        /** All restart at once, cold. */
+        /** All calculators restart at once, cold. */
         @JsonProperty("mass-restart")
         MASS_RESTART,
-        /** Fronts stand still for {@code size} ms now and then. */
+        /** Fronts are paused for {@code size} ms, again and again. */
         @JsonProperty("front-stall")
         FRONT_STALL,
-        /** The directory is {@code size} ms later than usual. */
+        /** The directory notifies {@code size} ms later than usual. */
         @JsonProperty("stale-directory")
         STALE_DIRECTORY,
-        /** The directory tells nothing. */
+        /** The directory sends no updates. */
         @JsonProperty("silent-directory")
         SILENT_DIRECTORY,
-        /** Calls come {@code size} times as often. */
+        /** The call rate is {@code size} times the usual one. */
         @JsonProperty("burst")
         BURST,
         /** A share {@code size} of the calculators' answers is lost. */
         @JsonProperty("answer-lost")
         ANSWER_LOST,
-        /** Calculators turn all set-ups away at once. */
+        /** Calculators reject all set-ups immediately. */
         @JsonProperty("turn-away")
         TURN_AWAY,
-        /** Authorities of the numbers are silent. */
+        /** Name servers do not respond. */
         @JsonProperty("dns-silent")
         DNS_SILENT,
-        /** Authorities answer {@code size} ms late. */
+        /** Name servers respond {@code size} ms late. */
         @JsonProperty("dns-slow")
         DNS_SLOW,
-        /** Authorities do not serve the zone any more. */
+        /** Name servers refuse queries for the zone. */
         @JsonProperty("dns-lame")
         DNS_LAME,
-        /** Forged answers come before the authorities' own. */
+        /** Forged responses arrive before those of the name servers. */
         @JsonProperty("dns-forged")
         DNS_FORGED
     }
 
     /**
-     * One trouble.
+     * A fault.
      *
-     * @param kind what goes wrong
-     * @param at when it begins
-     * @param duration how long it lasts
-     * @param part of the calculators, fronts or authorities that it strikes, one at least
-     * @param size how bad, see the kind
+     * @param kind kind of fault
+     * @param at time at which it begins, from the start of a cycle
+     * @param duration time that it lasts; {@code for} in YAML
+     * @param part share of the calculators, fronts or name servers that it affects; at least one is affected
+     * @param size severity, in the unit that the kind says
      */
     public record Fault(FaultKind kind, TimeSpan at, @JsonProperty("for") TimeSpan duration, Double part, Double size) {
-        /** Checks and defaults. */
+        /** Sets defaults for missing values and checks the others. */
         public Fault {
             Preconditions.requirePresent(kind, "kind");
             Preconditions.requirePresent(at, "at");
--- a/src/main/java/damsonseam/standin/SimulatedPeers.java
+++ b/src/main/java/damsonseam/standin/SimulatedPeers.java
@@ -17,9 +17,12 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** All that surrounds the fronts of a scenario, on loopback: calculators, authorities, directory, callers. */
+/**
+ * The simulated peers of the fronts of a scenario, on loopback: calculators, name servers, directory and callers. The
+ * constructor starts all but the callers; closing stops all and completes the wire logs.
+ */
 public final class SimulatedPeers implements AutoCloseable {
-    /** The domain of the numbers. */
+    /** Domain of the ENUM zone. */
     public static final String SUFFIX = "e164.example.org";
 
     private static final int FIRST_POINT_CODE = 1_000;
@@ -40,11 +43,16 @@
     private final WireLog eventLog;
     private boolean closed;
 
-    /** Starts all; wire logs go to {@code wire}, or nowhere if it is null. */
+    /**
+     * Starts the peers of a scenario.
+     *
+     * @param scenario scenario
+     * @param wireFolder folder of the wire logs, or null for none
+     */
     public SimulatedPeers(Scenario scenario, Path wireFolder) throws IOException, InterruptedException {
         this.scenario = scenario;
         long originNanos = System.nanoTime();
-        // One loop each for callers and authorities, two for calculators: none waits for another's work.
+        // One event loop each for callers and name servers and two for calculators, so that none delays another.
         group = new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
         SplittableRandom seeds = new SplittableRandom(scenario.seed());
         WireLog callerLog = openWireLog(wireFolder, "callers", originNanos);
@@ -112,7 +120,7 @@
         return String.format("calc-%02d.example.org", index);
     }
 
-    /** The first choice is in the number, the others follow it. */
+    /** Returns the hosts of a number: the first choice, whose index the number contains, then the others in order. */
     private List<String> hostsOf(String number) {
         int count = scenario.calculators().count();
         for (Scenario.CallerClass callerClass : scenario.load().classes()) {
@@ -138,12 +146,12 @@
                 .orElse(1_000);
     }
 
-    /** A number that resolves, of the first class. */
+    /** Returns a number of the first class that resolves. */
     public String exampleNumber() {
         return scenario.load().classes().get(0).prefix() + "000000001";
     }
 
-    /** Settings for a front of this scenario; they are what an operator would write. */
+    /** Returns the settings of a front of this scenario, as an operator would write them. */
     public FrontSettings frontSettings(int frontIndex, Endpoint listen) {
         List<FrontSettings.CallClassSettings> classes = new ArrayList<>();
         List<FrontSettings.NumberRange> numbers = new ArrayList<>();
@@ -182,12 +190,12 @@
                 null);
     }
 
-    /** The name of a front, as its point code tells it too. */
+    /** Returns the name of a front, which contains its point code. */
     public static String frontName(int frontIndex) {
         return "front-" + (FIRST_FRONT_POINT_CODE + frontIndex);
     }
 
-    /** What the auditor must know of this run. */
+    /** Returns the description of this run for the audit. */
     public World world(List<World.FrontAt> fronts) {
         CalculatorSettings each = scenario.calculators().each();
         List<World.Numbers> numbers = scenario.load().classes().stream()
@@ -209,44 +217,50 @@
                 300);
     }
 
-    /** A calculator as the directory lists it. */
+    /** Returns the directory entry of a calculator. */
     public DirectoryServer.CalculatorEntry directoryEntry(int index) {
         Calculator calculator = calculators.get(index);
         return new DirectoryServer.CalculatorEntry(
                 calculator.id(), index, "127.0.0.1:" + calculator.address().getPort(), calculator.pointCode());
     }
 
-    /** The calculators. */
+    /** Returns the calculators. */
     public List<Calculator> calculators() {
         return calculators;
     }
 
-    /** The authorities of the numbers. */
+    /** Returns the name servers of the ENUM zone. */
     public List<DnsAuthority> authorities() {
         return authorities;
     }
 
-    /** Where the authorities are. */
+    /** Returns the addresses of the name servers. */
     public List<Endpoint> authorityAddresses() {
         return authorityAddresses;
     }
 
-    /** The pool directory. */
+    /** Returns the pool directory. */
     public DirectoryServer directory() {
         return directory;
     }
 
-    /** Where the directory is. */
+    /** Returns the address of the directory. */
     public Endpoint directoryAddress() {
         return directoryAddress;
     }
 
-    /** The callers. */
+    /** Returns the call generator. */
     public CallGenerator callers() {
         return callers;
     }
 
-    /** Writes an event that no socket shows into the wire logs. */
+    /**
+     * Writes an event that no socket shows to the wire logs.
+     *
+     * @param party party that it affects
+     * @param event kind of line
+     * @param detail payload
+     */
     public void logEvent(String party, String event, String detail) {
         if (eventLog != null) {
             eventLog.write("scenario", party, event, detail.getBytes(java.nio.charset.StandardCharsets.US_ASCII));
--- a/src/main/java/damsonseam/standin/SipServer.java
+++ b/src/main/java/damsonseam/standin/SipServer.java
@@ -16,12 +16,13 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 
-/** A signalling server of the platform's protocol that takes every call and ends it soon after. */
+/** A stand-in server of the front node's SIP protocol that accepts every call and releases it soon after. */
 final class SipServer implements AutoCloseable {
     private static final int HOLDING_TIME_MS = 20;
+
     private final Channel channel;
 
-    /** Listens on loopback, on a port that the system chooses. */
+    /** Creates a server that listens on a free loopback port. */
     SipServer(EventLoopGroup group) throws InterruptedException {
         channel = new ServerBootstrap()
                 .group(group)
@@ -37,6 +38,7 @@
                 .channel();
     }
 
+    /** Returns the port that the server listens on. */
     int port() {
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
@@ -46,6 +48,7 @@
         channel.close();
     }
 
+    /** Reports its load when a node connects, then answers INVITE and OPTIONS requests. */
     private static final class ConnectionHandler extends SimpleChannelInboundHandler<SipMessage> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
--- a/src/test/java/damsonseam/day/ScenarioRunTest.java
+++ b/src/test/java/damsonseam/day/ScenarioRunTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The CI version of a bad day: seconds long, all kinds of parts, rules checked from the wire. */
+/**
+ * Runs a scenario of some seconds with faults of all kinds of peers and audits the wire logs. Guards against broken
+ * rules, calls without an answer and calculators that are overloaded while cold.
+ */
 class ScenarioRunTest {
     private static final String SHORT_SCENARIO =
             """
@@ -39,10 +42,10 @@
         assertEquals(result.audit().calls(), result.audit().resolved());
         assertTrue(
                 result.audit().stood() > result.audit().calls() / 3,
-                "stood " + result.audit().stood());
+                "established " + result.audit().stood());
         assertTrue(result.audit().setUps() >= result.audit().stood());
         assertEquals(0, result.collapsedCalculators());
-        // One calculator of four crashes and one is replaced: what the end of the day takes down is not counted.
-        assertTrue(result.totals().dropped < result.totals().calls * 2 / 3, "cut " + result.totals().dropped);
+        // One calculator of four crashes and one is replaced; calls dropped by the shutdown at the end are not counted.
+        assertTrue(result.totals().dropped < result.totals().calls * 2 / 3, "dropped " + result.totals().dropped);
     }
 }
--- a/src/test/java/damsonseam/day/ScenarioSearchTest.java
+++ b/src/test/java/damsonseam/day/ScenarioSearchTest.java
@@ -29,6 +29,10 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 
+/**
+ * Guards against a search that cannot be repeated from its seed, leaves its bounds or ignores the hardest run, and
+ * against call traces that mix up calls on different circuits.
+ */
 class ScenarioSearchTest {
 
     private static Scenario standardScenario() throws Exception {
@@ -50,7 +54,7 @@
         sameSeedSearch.next();
         for (int i = 1; i < 300; i++) {
             Scenario scenario = search.next();
-            assertEquals(scenario, sameSeedSearch.next(), "the same seed, the same days");
+            assertEquals(scenario, sameSeedSearch.next(), "same seed, same scenarios");
             assertNotEquals(first.seed(), scenario.seed());
             assertTrue(scenario.fronts() >= 2 && scenario.fronts() <= 24);
             assertTrue(scenario.load().callsPerS() <= 2_000);
@@ -61,7 +65,7 @@
         assertEquals(500, search.minTimeLeftMs());
     }
 
-    /** Most days go on from the one that came nearest to a broken rule. */
+    /** Most scenarios are varied from the one that came nearest to a broken rule. */
     @Test
     void drawsMostScenariosFromTheHardest() throws Exception {
         ScenarioSearch search = new ScenarioSearch(standardScenario());
