--- a/src/test/java/damsonseam/dns/DnsCodecAndCacheTest.java
+++ b/src/test/java/damsonseam/dns/DnsCodecAndCacheTest.java
@@ -19,49 +19,50 @@
 import org.xbill.DNS.NAPTRRecord;
 import org.xbill.DNS.Name;
 
+/** Guards the codec against malformed messages, the NAPTR rules against hostile records, and the tables' bounds. */
 class DnsCodecAndCacheTest {
     private static final Name SUFFIX = E164Name.parseSuffix("e164.example.org");
 
     @Property(tries = 300)
-    void numbersComeBackFromTheirNames(@ForAll @NumericChars @StringLength(min = 1, max = 20) String number) {
+    void numberSurvivesConversionToNameAndBack(@ForAll @NumericChars @StringLength(min = 1, max = 20) String number) {
         assertEquals(number, E164Name.toNumber(E164Name.toName(number, SUFFIX), SUFFIX));
     }
 
-    /** Nothing but the codec's own error comes out of any octets. */
+    /** Arbitrary bytes must cause no exception other than that of the codec. */
     @Property(tries = 10_000)
-    void theCodecBearsAnything(@ForAll @Size(max = 120) byte[] octets) {
+    void decoderThrowsOnlyItsOwnExceptionForArbitraryBytes(@ForAll @Size(max = 120) byte[] bytes) {
         try {
-            EdnsCallOption.from(DnsCodec.decode(octets).getOPT());
+            EdnsCallOption.from(DnsCodec.decode(bytes).getOPT());
         } catch (DnsFormatException e) {
             assertTrue(e.getMessage().startsWith("not a DNS message"));
         }
     }
 
     @Property(tries = 10_000)
-    void theCodecBearsAnythingBehindASoundHeader(@ForAll @Size(max = 80) byte[] body, @ForAll byte counts) {
-        byte[] octets = new byte[DnsCodec.HEADER_BYTES + body.length];
+    void decoderThrowsOnlyItsOwnExceptionForArbitraryRecords(@ForAll @Size(max = 80) byte[] body, @ForAll byte counts) {
+        byte[] bytes = new byte[DnsCodec.HEADER_BYTES + body.length];
         for (int i = 0; i < 4; i++) {
-            octets[5 + 2 * i] = (byte) (counts >> 2 * i & 3);
+            bytes[5 + 2 * i] = (byte) (counts >> 2 * i & 3);
         }
-        System.arraycopy(body, 0, octets, DnsCodec.HEADER_BYTES, body.length);
+        System.arraycopy(body, 0, bytes, DnsCodec.HEADER_BYTES, body.length);
         try {
-            EdnsCallOption.from(DnsCodec.decode(octets).getOPT());
+            EdnsCallOption.from(DnsCodec.decode(bytes).getOPT());
         } catch (DnsFormatException e) {
             assertNotNull(e.getCause());
         }
     }
 
     @Test
-    void namesThatAreNoNumberAreTold() throws Exception {
+    void namesThatRepresentNoNumberAreRejected() throws Exception {
         for (String name : List.of("a.2", "12.3", "", "1.2.3.4.5.6.7.8.9.0.1.2.3.4.5.6.7.8.9.0.1")) {
-            Name full = name.isEmpty() ? SUFFIX : Name.fromString(name, SUFFIX);
-            assertNull(E164Name.toNumber(full, SUFFIX), name);
+            Name fullName = name.isEmpty() ? SUFFIX : Name.fromString(name, SUFFIX);
+            assertNull(E164Name.toNumber(fullName, SUFFIX), name);
         }
         assertThrows(IllegalArgumentException.class, () -> E164Name.toName("12a", SUFFIX));
     }
 
     @Test
-    void substitutionFollowsItsExpression() {
+    void substitutionAppliesItsExpression() {
         assertEquals("sip:59821@h", NaptrRules.substitute("+59821", "!^\\+(.*)$!sip:\\1@h!"));
         assertEquals("X", NaptrRules.substitute("+598ab", "!AB$!X!i"));
         assertNull(NaptrRules.substitute("+598", "!^\\+44!x!"));
@@ -70,15 +71,15 @@
         assertNull(NaptrRules.substitute("+598", "!"));
     }
 
-    /** Guards the loop: an expression that takes a backtracking engine years is done at once. */
+    /** Guards the event loop: an expression with exponential backtracking must be evaluated in linear time. */
     @Test
-    void aHostileExpressionCostsNothing() {
+    void backtrackingExpressionIsEvaluatedInLinearTime() {
         String digits = "1".repeat(20);
         assertNull(NaptrRules.substitute("+" + digits, "!(1*)*(1*)*(1*)*(1*)*(1*)*(1*)*x$!y!"));
     }
 
     @Test
-    void rulesThatAreNotTerminalSipAreLeftOut() {
+    void onlyTerminalSipRulesAreUsed() {
         Name name = E164Name.toName("598", SUFFIX);
         List<NAPTRRecord> rules = List.of(
                 new NAPTRRecord(name, DClass.IN, 1, 100, 30, "u", "E2U+sip", "!^.*$!sip:c@c.org;x=1!", Name.root),
@@ -90,24 +91,24 @@
     }
 
     @Test
-    void aFullTransactionTableMakesRoomOnlyOfAnsweredQuestions() {
+    void fullTransactionTableEvictsCompletedQueriesOnly() {
         TransactionTable table = new TransactionTable(2, 1_000);
-        TransactionTable.Key a = new TransactionTable.Key("a", 1, "n");
-        TransactionTable.Key b = new TransactionTable.Key("b", 1, "n");
-        TransactionTable.Key c = new TransactionTable.Key("c", 1, "n");
-        assertTrue(table.open(a, 0));
-        assertTrue(table.open(b, 0));
-        assertFalse(table.open(c, 0));
-        table.complete(a, new byte[] {1}, 1);
-        assertTrue(table.open(c, 2));
-        assertNull(table.find(a, 2));
-        table.complete(b, new byte[] {2}, 3);
-        assertArrayEquals(new byte[] {2}, table.find(b, 900).response());
-        assertNull(table.find(b, 1_100));
+        TransactionTable.Key first = new TransactionTable.Key("a", 1, "n");
+        TransactionTable.Key second = new TransactionTable.Key("b", 1, "n");
+        TransactionTable.Key third = new TransactionTable.Key("c", 1, "n");
+        assertTrue(table.open(first, 0));
+        assertTrue(table.open(second, 0));
+        assertFalse(table.open(third, 0));
+        table.complete(first, new byte[] {1}, 1);
+        assertTrue(table.open(third, 2));
+        assertNull(table.find(first, 2));
+        table.complete(second, new byte[] {2}, 3);
+        assertArrayEquals(new byte[] {2}, table.find(second, 900).response());
+        assertNull(table.find(second, 1_100));
     }
 
     @Test
-    void theCacheKeepsTheLatelyUsedWithinItsLimit() {
+    void cacheEvictsLeastRecentlyUsedNumber() {
         LookupCache cache = new LookupCache(2, 1_000);
         var found = damsonseam.core.LookupResult.found(List.of("a"));
         cache.put("1", found, 1, 0);
--- a/src/test/java/damsonseam/dns/EnumServiceTest.java
+++ b/src/test/java/damsonseam/dns/EnumServiceTest.java
@@ -24,7 +24,7 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 
-/** What the ENUM service says to questions, sound and unsound. */
+/** Guards the responses of the ENUM service to valid, unsupported and malformed queries. */
 class EnumServiceTest {
     private static final String NUMBER = "59821000000001";
     private final SimulatedFront front = new SimulatedFront().start("s0");
@@ -46,12 +46,12 @@
     }
 
     @Test
-    void theAnswerLeadsToTheCalculatorAndTheCallAndIsNotKept() throws Exception {
-        Name mixed = Name.fromString("1.0.0.0.0.0.0.0.0.1.2.8.9.5.E164.eXample.ORG.");
-        Message answer = ask(query(mixed, Type.NAPTR, DClass.IN));
+    void responseNamesCalculatorAndCallAndIsNotCacheable() throws Exception {
+        Name mixedCase = Name.fromString("1.0.0.0.0.0.0.0.0.1.2.8.9.5.E164.eXample.ORG.");
+        Message answer = ask(query(mixedCase, Type.NAPTR, DClass.IN));
         assertEquals(77, answer.getHeader().getID());
         assertTrue(answer.getHeader().getFlag(Flags.AA));
-        assertEquals(mixed.toString(), answer.getQuestion().getName().toString(), "the case is kept");
+        assertEquals(mixedCase.toString(), answer.getQuestion().getName().toString(), "case of the query name");
         NAPTRRecord rule = (NAPTRRecord) answer.getSection(Section.ANSWER).get(0);
         assertEquals(0, rule.getTTL());
         assertEquals(List.of("s0"), NaptrRules.serverHosts(NUMBER, List.of(rule)));
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void whatIsNotServedIsToldByItsRcode() throws Exception {
+    void unsupportedQueriesGetTheRcodeOfTheirFault() throws Exception {
         assertEquals(
                 Rcode.REFUSED,
                 ask(query(Name.fromString("1.2.example.net."), Type.NAPTR, DClass.IN))
@@ -71,17 +71,17 @@
         assertEquals(1, otherType.getSection(Section.AUTHORITY).size());
         assertEquals(
                 Rcode.NXDOMAIN, ask(query(name("44123"), Type.NAPTR, DClass.IN)).getRcode());
-        Message update = query(name(NUMBER), Type.NAPTR, DClass.IN);
-        update.getHeader().setOpcode(Opcode.NOTIFY);
-        assertEquals(Rcode.NOTIMP, ask(update).getRcode());
-        Message two = query(name(NUMBER), Type.NAPTR, DClass.IN);
-        two.addRecord(Record.newRecord(name("598"), Type.NAPTR, DClass.IN), Section.QUESTION);
-        assertEquals(Rcode.FORMERR, ask(two).getRcode());
+        Message notify = query(name(NUMBER), Type.NAPTR, DClass.IN);
+        notify.getHeader().setOpcode(Opcode.NOTIFY);
+        assertEquals(Rcode.NOTIMP, ask(notify).getRcode());
+        Message twoQuestions = query(name(NUMBER), Type.NAPTR, DClass.IN);
+        twoQuestions.addRecord(Record.newRecord(name("598"), Type.NAPTR, DClass.IN), Section.QUESTION);
+        assertEquals(Rcode.FORMERR, ask(twoQuestions).getRcode());
         assertTrue(front.setUps(null).isEmpty());
     }
 
     @Test
-    void aRefusalFromOutsideTheSuffixIsNotTakenForARefusedCall() throws Exception {
+    void refusalOutsideTheSuffixDiffersFromARefusedCall() throws Exception {
         Message query = query(Name.fromString("1.2.example.net."), Type.NAPTR, DClass.IN);
         query.addRecord(new OPTRecord(1232, 0, 0), Section.ADDITIONAL);
         ExtendedErrorCodeOption error =
@@ -90,17 +90,17 @@
     }
 
     @Test
-    void anUnknownEdnsVersionIsToldSo() {
+    void unknownEdnsVersionGetsBadvers() {
         Message query = query(name(NUMBER), Type.NAPTR, DClass.IN);
         query.addRecord(new OPTRecord(1232, 0, 3), Section.ADDITIONAL);
         assertEquals(Rcode.BADVERS, ask(query).getRcode());
     }
 
     @Test
-    void halfAMessageIsAFormatErrorWithItsIdAndAnAnswerIsNeverAnswered() {
+    void truncatedQueryGetsFormatErrorAndResponsesAreIgnored() {
         byte[] whole = query(name(NUMBER), Type.NAPTR, DClass.IN).toWire();
-        byte[] half = java.util.Arrays.copyOf(whole, whole.length - 9);
-        front.sendBytes("desk", half);
+        byte[] incomplete = java.util.Arrays.copyOf(whole, whole.length - 9);
+        front.sendBytes("desk", incomplete);
         Message answer = front.replies.get(0).message();
         assertEquals(Rcode.FORMERR, answer.getRcode());
         assertEquals(77, answer.getHeader().getID());
@@ -111,20 +111,20 @@
     }
 
     @Test
-    void theCallersOwnTimeShortensTheCall() {
+    void timeInCallOptionShortensTheCall() {
         front.behaviours.put("s0", SimulatedFront.ServerBehaviour.SILENT);
         Message query = query(name(NUMBER), Type.NAPTR, DClass.IN);
         query.addRecord(
                 new OPTRecord(1232, 0, 0, 0, List.of(new EdnsCallOption(true, 500).toOption())), Section.ADDITIONAL);
-        double asked = front.now;
+        double sentAt = front.now;
         front.sendBytes("desk", query.toWire());
         front.run(1_000);
         assertEquals(1, front.replies.size());
-        assertTrue(front.replies.get(0).at() <= asked + 500);
+        assertTrue(front.replies.get(0).at() <= sentAt + 500);
     }
 
     @Test
-    void aRefusalCarriesTheAdvisedWait() {
+    void refusalCarriesTheAdvisedWait() {
         SimulatedFront full = new SimulatedFront();
         full.maxCalls = 1;
         full.start("s0");
@@ -139,29 +139,29 @@
     }
 
     @Test
-    void anAnswerTooLongForUdpIsCutAndSaysSo() throws Exception {
+    void responseTooLongForUdpIsTruncated() throws Exception {
         Message query = query(name(NUMBER), Type.NAPTR, DClass.IN);
-        byte[] whole = EnumResponses.negative(
+        byte[] complete = EnumResponses.negative(
                 query, Rcode.NXDOMAIN, SimulatedFront.SUFFIX, DnsCodec.MAX_UDP_BYTES_WITHOUT_EDNS);
-        assertFalse(DnsCodec.decode(whole).getHeader().getFlag(Flags.TC));
-        byte[] cut = EnumResponses.negative(query, Rcode.NXDOMAIN, SimulatedFront.SUFFIX, whole.length - 1);
-        assertTrue(cut.length < whole.length);
-        assertTrue(DnsCodec.decode(cut).getHeader().getFlag(Flags.TC));
+        assertFalse(DnsCodec.decode(complete).getHeader().getFlag(Flags.TC));
+        byte[] truncated = EnumResponses.negative(query, Rcode.NXDOMAIN, SimulatedFront.SUFFIX, complete.length - 1);
+        assertTrue(truncated.length < complete.length);
+        assertTrue(DnsCodec.decode(truncated).getHeader().getFlag(Flags.TC));
     }
 
-    /** Any octets at all: nothing is thrown, and what is answered is a message. */
+    /** For arbitrary bytes nothing is thrown, and every response is a valid message. */
     @Property(tries = 2_000)
-    void anyOctetsAreBorne(@ForAll @Size(max = 100) byte[] octets) {
-        SimulatedFront any = SHARED;
-        any.sendBytes("fuzz", octets);
-        any.run(1);
-        any.replies.clear();
+    void arbitraryBytesAreHandled(@ForAll @Size(max = 100) byte[] bytes) {
+        SimulatedFront shared = SHARED_FRONT;
+        shared.sendBytes("fuzz", bytes);
+        shared.run(1);
+        shared.replies.clear();
     }
 
-    private static final SimulatedFront SHARED = new SimulatedFront().start("s0");
+    private static final SimulatedFront SHARED_FRONT = new SimulatedFront().start("s0");
 
     @Test
-    void questionsSentAgainAfterTheAnswerGetItAgain() {
+    void retransmittedQueryGetsTheSameResponse() {
         Message query = query(name(NUMBER), Type.NAPTR, DClass.IN);
         ask(query);
         ask(query);
@@ -170,6 +170,6 @@
         assertEquals(1, front.setUps(null).size());
         front.run(4_000);
         ask(query);
-        assertEquals(2, front.setUps(null).size(), "long after, the same question is a new call");
+        assertEquals(2, front.setUps(null).size(), "after the retention time the same query is a new call");
     }
 }
--- a/src/test/java/damsonseam/dns/ResolverTest.java
+++ b/src/test/java/damsonseam/dns/ResolverTest.java
@@ -19,12 +19,13 @@
 import org.xbill.DNS.SOARecord;
 import org.xbill.DNS.Section;
 
+/** Guards lookups against lost, late, forged and lame responses, and against load on authorities that fail. */
 class ResolverTest {
     private static final String NUMBER = "59821000000001";
     private static final Name SUFFIX = E164Name.parseSuffix("e164.example.org");
     private final TimerWheel timers = new TimerWheel(0);
-    private final List<Question> asked = new ArrayList<>();
-    private final List<String> told = new ArrayList<>();
+    private final List<Query> queries = new ArrayList<>();
+    private final List<String> results = new ArrayList<>();
     private final Resolver resolver = new Resolver(
             SUFFIX,
             new LookupCache(100, 60_000),
@@ -34,26 +35,26 @@
             new Resolver.Limits(4, 6, 50, 300),
             new Resolver.Output() {
                 @Override
-                public void sendUdp(int authority, int socket, byte[] question) {
-                    asked.add(new Question(authority, socket, question));
+                public void sendUdp(int authority, int socket, byte[] query) {
+                    queries.add(new Query(authority, socket, query));
                 }
 
                 @Override
-                public void sendTcp(int authority, byte[] question) {
-                    asked.add(new Question(authority, Resolver.TCP_SOCKET, question));
+                public void sendTcp(int authority, byte[] query) {
+                    queries.add(new Query(authority, Resolver.TCP_SOCKET, query));
                 }
 
                 @Override
                 public void onLookupComplete(double now, long call, LookupResult candidates) {
-                    told.add(call + " " + candidates.outcome() + " " + candidates.servers());
+                    results.add(call + " " + candidates.outcome() + " " + candidates.servers());
                 }
             });
     private double now;
 
-    private record Question(int authority, int socket, byte[] octets) {
+    private record Query(int authority, int socket, byte[] bytes) {
         Message message() {
             try {
-                return DnsCodec.decode(octets);
+                return DnsCodec.decode(bytes);
             } catch (DnsFormatException e) {
                 throw new AssertionError(e);
             }
@@ -73,19 +74,19 @@
         resolver.lookUp(call, NUMBER, now + 2_000);
     }
 
-    private Question last() {
-        return asked.get(asked.size() - 1);
+    private Query lastQuery() {
+        return queries.get(queries.size() - 1);
     }
 
-    private static Message reply(Question to, String... hosts) {
+    private static Message response(Query to, String... hosts) {
         Message query = to.message();
-        Message reply = new Message(query.getHeader().getID());
-        reply.getHeader().setFlag(Flags.QR);
-        reply.getHeader().setFlag(Flags.AA);
-        reply.addRecord(query.getQuestion(), Section.QUESTION);
+        Message response = new Message(query.getHeader().getID());
+        response.getHeader().setFlag(Flags.QR);
+        response.getHeader().setFlag(Flags.AA);
+        response.addRecord(query.getQuestion(), Section.QUESTION);
         int preference = 10;
         for (String host : hosts) {
-            reply.addRecord(
+            response.addRecord(
                     new NAPTRRecord(
                             query.getQuestion().getName(),
                             DClass.IN,
@@ -98,190 +99,191 @@
                             Name.root),
                     Section.ANSWER);
         }
-        return reply;
+        return response;
     }
 
-    private void answer(Question to, Message reply) {
-        resolver.onResponse(now, to.authority(), to.socket(), reply.toWire());
+    private void respond(Query to, Message response) {
+        resolver.onResponse(now, to.authority(), to.socket(), response.toWire());
     }
 
     @Test
-    void aNumberIsFoundInTheOrderOfPreference() {
+    void serversAreReturnedInOrderOfPreference() {
         lookUp(1);
-        answer(last(), reply(last(), "b.example.org", "a.example.org"));
-        assertEquals(List.of("1 FOUND [b.example.org, a.example.org]"), told);
+        respond(lastQuery(), response(lastQuery(), "b.example.org", "a.example.org"));
+        assertEquals(List.of("1 FOUND [b.example.org, a.example.org]"), results);
         lookUp(2);
         run(5);
-        assertEquals(2, told.size());
-        assertEquals(1, asked.size());
+        assertEquals(2, results.size());
+        assertEquals(1, queries.size());
     }
 
     @Test
-    void callsForOneNumberShareALookUp() {
+    void callsForTheSameNumberShareOneLookup() {
         lookUp(1);
         lookUp(2);
-        assertEquals(1, asked.size());
-        answer(last(), reply(last(), "a.example.org"));
-        assertEquals(2, told.size());
+        assertEquals(1, queries.size());
+        respond(lastQuery(), response(lastQuery(), "a.example.org"));
+        assertEquals(2, results.size());
         assertEquals(0, resolver.pendingLookups());
     }
 
-    /** Hard case: lost answers. The next authority is asked, and a late answer of the first still counts. */
+    /** Guards against a lost response: the next authority is queried, and a late first response is still used. */
     @Test
-    void silenceMovesTheQuestionAndALateAnswerStillCounts() {
+    void timeoutQueriesNextAuthorityAndLateResponseIsUsed() {
         lookUp(1);
         run(250);
-        assertEquals(2, asked.size());
-        assertNotEquals(asked.get(0).authority(), asked.get(1).authority());
-        answer(asked.get(0), reply(asked.get(0), "a.example.org"));
-        assertEquals(List.of("1 FOUND [a.example.org]"), told);
+        assertEquals(2, queries.size());
+        assertNotEquals(queries.get(0).authority(), queries.get(1).authority());
+        respond(queries.get(0), response(queries.get(0), "a.example.org"));
+        assertEquals(List.of("1 FOUND [a.example.org]"), results);
     }
 
-    /** Hard case: the answer comes after the caller's time. The look-up has failed by then, once. */
+    /** Guards against a response after the caller's deadline: the lookup must have failed by then, exactly once. */
     @Test
-    void aLookUpEndsByItsDeadlineWhateverTheAuthoritiesDo() {
+    void lookupFailsAtItsDeadlineWithoutResponse() {
         lookUp(1);
         run(4_000);
-        assertEquals(List.of("1 UNAVAILABLE []"), told);
+        assertEquals(List.of("1 UNAVAILABLE []"), results);
         assertEquals(0, resolver.pendingLookups());
-        answer(asked.get(0), reply(asked.get(0), "a.example.org"));
-        assertEquals(1, told.size());
+        respond(queries.get(0), response(queries.get(0), "a.example.org"));
+        assertEquals(1, results.size());
         assertEquals(0, timers.size());
     }
 
     @Test
-    void forgedAnswersAreNotBelievedAndManyMoveTheQuestionToAStream() {
+    void forgedResponsesAreIgnoredAndSeveralSwitchToTcp() {
         lookUp(1);
-        Question first = last();
+        Query firstQuery = lastQuery();
         for (int i = 1; i <= 4; i++) {
-            Message forged = reply(first, "forged.example.org");
+            Message forged = response(firstQuery, "forged.example.org");
             forged.removeAllRecords(Section.QUESTION);
             forged.addRecord(org.xbill.DNS.Record.newRecord(SUFFIX, 35, DClass.IN), Section.QUESTION);
-            answer(first, forged);
+            respond(firstQuery, forged);
         }
-        assertTrue(told.isEmpty());
-        assertEquals(Resolver.TCP_SOCKET, last().socket());
-        answer(last(), reply(last(), "a.example.org"));
-        assertEquals(List.of("1 FOUND [a.example.org]"), told);
+        assertTrue(results.isEmpty());
+        assertEquals(Resolver.TCP_SOCKET, lastQuery().socket());
+        respond(lastQuery(), response(lastQuery(), "a.example.org"));
+        assertEquals(List.of("1 FOUND [a.example.org]"), results);
     }
 
     @Test
-    void anAnswerMustFitSocketAuthorityIdAndTheCaseOfTheName() {
+    void responseMustMatchSocketAuthorityIdAndCaseOfName() {
         lookUp(1);
-        Question q = last();
-        Message right = reply(q, "a.example.org");
-        resolver.onResponse(now, 1 - q.authority(), q.socket(), right.toWire());
-        resolver.onResponse(now, q.authority(), (q.socket() + 1) % 4, right.toWire());
-        Message lower = reply(q, "a.example.org");
-        lower.removeAllRecords(Section.QUESTION);
-        lower.addRecord(
+        Query sent = lastQuery();
+        Message genuine = response(sent, "a.example.org");
+        resolver.onResponse(now, 1 - sent.authority(), sent.socket(), genuine.toWire());
+        resolver.onResponse(now, sent.authority(), (sent.socket() + 1) % 4, genuine.toWire());
+        Message lowerCase = response(sent, "a.example.org");
+        lowerCase.removeAllRecords(Section.QUESTION);
+        lowerCase.addRecord(
                 org.xbill.DNS.Record.newRecord(E164Name.toName(NUMBER, SUFFIX), 35, DClass.IN), Section.QUESTION);
         assertFalse(
-                lower.getQuestion()
+                lowerCase
+                        .getQuestion()
                         .getName()
                         .toString()
-                        .equals(q.message().getQuestion().getName().toString()),
-                "the case of the letters is drawn");
-        answer(q, lower);
-        assertTrue(told.isEmpty());
+                        .equals(sent.message().getQuestion().getName().toString()),
+                "the case of the letters is random");
+        respond(sent, lowerCase);
+        assertTrue(results.isEmpty());
         assertEquals(3, resolver.counts().mismatchedResponses);
-        answer(q, right);
-        assertEquals(1, told.size());
+        respond(sent, genuine);
+        assertEquals(1, results.size());
     }
 
     @Test
-    void aTruncatedAnswerIsAskedForOverAStreamOfTheSameAuthority() {
+    void truncatedResponseIsRequestedAgainOverTcpFromTheSameAuthority() {
         lookUp(1);
-        Message cut = reply(last());
-        cut.getHeader().setFlag(Flags.TC);
-        answer(last(), cut);
-        assertEquals(Resolver.TCP_SOCKET, last().socket());
-        assertEquals(asked.get(0).authority(), last().authority());
-        answer(last(), reply(last(), "a.example.org"));
-        assertEquals(1, told.size());
+        Message truncated = response(lastQuery());
+        truncated.getHeader().setFlag(Flags.TC);
+        respond(lastQuery(), truncated);
+        assertEquals(Resolver.TCP_SOCKET, lastQuery().socket());
+        assertEquals(queries.get(0).authority(), lastQuery().authority());
+        respond(lastQuery(), response(lastQuery(), "a.example.org"));
+        assertEquals(1, results.size());
     }
 
     @Test
-    void aLameAuthorityIsLeftAtOnceAndAskedLast() {
+    void lameAuthorityIsReplacedAtOnceAndQueriedLast() {
         lookUp(1);
-        Question first = last();
-        Message lame = reply(first);
+        Query firstQuery = lastQuery();
+        Message lame = response(firstQuery);
         lame.getHeader().setRcode(Rcode.REFUSED);
-        answer(first, lame);
-        assertEquals(2, asked.size());
-        assertNotEquals(first.authority(), last().authority());
-        answer(last(), reply(last(), "a.example.org"));
+        respond(firstQuery, lame);
+        assertEquals(2, queries.size());
+        assertNotEquals(firstQuery.authority(), lastQuery().authority());
+        respond(lastQuery(), response(lastQuery(), "a.example.org"));
         for (int i = 0; i < 5; i++) {
             resolver.lookUp(10 + i, "5982100000001" + i, now + 2_000);
-            assertNotEquals(first.authority(), last().authority());
+            assertNotEquals(firstQuery.authority(), lastQuery().authority());
         }
     }
 
     @Test
-    void aNumberThatDoesNotExistIsRememberedAsLongAsItsZoneSays() {
+    void nonexistentNumberIsCachedForTheTtlOfItsZone() {
         lookUp(1);
-        Message none = reply(last());
-        none.getHeader().setRcode(Rcode.NXDOMAIN);
-        none.addRecord(new SOARecord(SUFFIX, DClass.IN, 60, SUFFIX, SUFFIX, 1, 1, 1, 1, 2), Section.AUTHORITY);
-        answer(last(), none);
+        Message nonexistent = response(lastQuery());
+        nonexistent.getHeader().setRcode(Rcode.NXDOMAIN);
+        nonexistent.addRecord(new SOARecord(SUFFIX, DClass.IN, 60, SUFFIX, SUFFIX, 1, 1, 1, 1, 2), Section.AUTHORITY);
+        respond(lastQuery(), nonexistent);
         lookUp(2);
         run(10);
-        assertEquals(List.of("1 UNKNOWN []", "2 UNKNOWN []"), told);
-        assertEquals(1, asked.size());
+        assertEquals(List.of("1 NOT_FOUND []", "2 NOT_FOUND []"), results);
+        assertEquals(1, queries.size());
         run(2_100);
         lookUp(3);
-        assertEquals(2, asked.size());
+        assertEquals(2, queries.size());
     }
 
-    /** Guards calls against authorities that are all away: an old answer is better than none (RFC 8767). */
+    /** Guards calls while no authority responds: a stale result is better than none (RFC 8767). */
     @Test
-    void anOldAnswerIsGivenWhileAuthoritiesAreSilent() {
+    void staleResultIsUsedWhileNoAuthorityResponds() {
         lookUp(1);
-        answer(last(), reply(last(), "a.example.org"));
+        respond(lastQuery(), response(lastQuery(), "a.example.org"));
         run(61_000);
         lookUp(2);
         run(61_250);
-        assertEquals(1, told.size());
+        assertEquals(1, results.size());
         run(61_320);
-        assertEquals("2 FOUND [a.example.org]", told.get(1));
+        assertEquals("2 FOUND [a.example.org]", results.get(1));
     }
 
     @Test
-    void aFailureIsNotRepeatedForEachCallOfTheNextSecond() {
+    void failedLookupIsNotRepeatedWithinASecond() {
         lookUp(1);
         run(2_010);
-        assertEquals(List.of("1 UNAVAILABLE []"), told);
-        int before = asked.size();
+        assertEquals(List.of("1 UNAVAILABLE []"), results);
+        int before = queries.size();
         lookUp(2);
         run(2_020);
-        assertEquals(2, told.size());
-        assertEquals(before, asked.size());
+        assertEquals(2, results.size());
+        assertEquals(before, queries.size());
         run(3_100);
         lookUp(3);
-        assertEquals(before + 1, asked.size());
+        assertEquals(before + 1, queries.size());
     }
 
     @Test
-    void lookUpsBeyondTheLimitFailAtOnce() {
+    void lookupsBeyondTheLimitFailAtOnce() {
         for (int i = 0; i < 51; i++) {
             resolver.lookUp(i, String.format("598210000%05d", i), now + 2_000);
         }
         run(5);
-        assertEquals(List.of("50 UNAVAILABLE []"), told);
+        assertEquals(List.of("50 UNAVAILABLE []"), results);
         assertEquals(50, resolver.pendingLookups());
     }
 
     @Test
-    void octetsThatAreNoMessageChangeNothing() {
+    void malformedResponsesAreIgnored() {
         lookUp(1);
         for (int length = 0; length < 60; length++) {
             byte[] garbage = new byte[length];
             java.util.Arrays.fill(garbage, (byte) 0xff);
             if (length >= 2) {
-                System.arraycopy(last().octets(), 0, garbage, 0, 2);
+                System.arraycopy(lastQuery().bytes(), 0, garbage, 0, 2);
             }
-            resolver.onResponse(now, last().authority(), last().socket(), garbage);
+            resolver.onResponse(now, lastQuery().authority(), lastQuery().socket(), garbage);
         }
-        assertTrue(told.isEmpty());
+        assertTrue(results.isEmpty());
     }
 }
--- a/src/test/java/damsonseam/ss7/AspSessionTest.java
+++ b/src/test/java/damsonseam/ss7/AspSessionTest.java
@@ -11,11 +11,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Guards the ASP state machine, its heartbeats and its probes, also against a far end that does not respond. */
 class AspSessionTest {
-    private static final int FAR = 1000;
+    private static final int FAR_POINT_CODE = 1000;
     private final TimerWheel timers = new TimerWheel(0);
     private final List<M3uaMessage> sent = new ArrayList<>();
-    private final List<String> told = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private final AspSession session = new AspSession(
             new AspSession.Output() {
                 @Override
@@ -24,33 +25,33 @@
                 }
 
                 @Override
-                public void close(String why) {
-                    told.add("close " + why);
+                public void close(String reason) {
+                    events.add("close " + reason);
                 }
 
                 @Override
                 public void onActive() {
-                    told.add("active");
+                    events.add("active");
                 }
 
                 @Override
                 public void onDestinationState(boolean reachable, int level) {
-                    told.add("destination " + reachable + " " + level);
+                    events.add("destination " + reachable + " " + level);
                 }
 
                 @Override
                 public void onData(ProtocolData data) {
-                    told.add("data " + data.opc());
+                    events.add("data " + data.opc());
                 }
 
                 @Override
-                public void onProbeResult(boolean answered, double delay) {
-                    told.add("probed " + answered);
+                public void onProbeResult(boolean answered, double delayMs) {
+                    events.add("probed " + answered);
                 }
             },
             timers,
             5,
-            FAR,
+            FAR_POINT_CODE,
             250,
             1_000);
 
@@ -65,7 +66,7 @@
     }
 
     @Test
-    void goesUpThenActiveThenCarriesTraffic() throws SignallingProtocolException {
+    void sessionGoesUpThenActiveThenCarriesTraffic() throws SignallingProtocolException {
         session.onConnected(0);
         assertEquals(Kind.ASPUP, lastSent());
         session.onMessage(1, M3uaMessage.of(Kind.ASPUP_ACK));
@@ -73,13 +74,13 @@
         assertFalse(session.isUsable());
         session.onMessage(2, M3uaMessage.of(Kind.ASPAC_ACK));
         assertTrue(session.isUsable());
-        assertEquals(List.of("active"), told);
+        assertEquals(List.of("active"), events);
     }
 
     @Test
-    void dataBeforeItIsActiveIsAnUnexpectedMessage() {
+    void dataBeforeActiveIsUnexpectedMessage() {
         session.onConnected(0);
-        M3uaMessage data = new ProtocolData(FAR, 5, 0, new byte[] {1, 0, 9}).toMessage();
+        M3uaMessage data = new ProtocolData(FAR_POINT_CODE, 5, 0, new byte[] {1, 0, 9}).toMessage();
         assertEquals(
                 M3uaMessage.UNEXPECTED_MESSAGE,
                 assertThrows(SignallingProtocolException.class, () -> session.onMessage(1, data))
@@ -87,38 +88,39 @@
     }
 
     @Test
-    void anAcknowledgementThatNeverComesIsAskedForAgainAndThenGivenUp() {
+    void missingAcknowledgementIsFollowedByRetransmissionsAndClose() {
         session.onConnected(0);
         for (double now = 0; now <= 9_000; now += 50) {
             timers.poll(now);
         }
         assertEquals(4, sent.size());
-        assertTrue(told.get(0).startsWith("close"));
+        assertTrue(events.get(0).startsWith("close"));
     }
 
     @Test
-    void whatTheFarEndSaysOfItsDestinationIsFollowed() throws SignallingProtocolException {
+    void destinationStateFollowsNetworkManagementMessages() throws SignallingProtocolException {
         activate();
-        session.onMessage(3, M3uaMessage.destinationState(Kind.DUNA, FAR));
+        session.onMessage(3, M3uaMessage.destinationState(Kind.DUNA, FAR_POINT_CODE));
         assertFalse(session.isUsable());
-        session.onMessage(4, M3uaMessage.destinationState(Kind.DAVA, FAR));
+        session.onMessage(4, M3uaMessage.destinationState(Kind.DAVA, FAR_POINT_CODE));
         assertTrue(session.isUsable());
-        session.onMessage(5, M3uaMessage.destinationState(Kind.SCON, FAR, M3uaMessage.congestionIndications(2)));
+        session.onMessage(
+                5, M3uaMessage.destinationState(Kind.SCON, FAR_POINT_CODE, M3uaMessage.congestionIndications(2)));
         assertEquals(2, session.congestionLevel());
         assertTrue(session.isUsable());
-        session.onMessage(6, M3uaMessage.destinationState(Kind.DUNA, FAR + 1));
+        session.onMessage(6, M3uaMessage.destinationState(Kind.DUNA, FAR_POINT_CODE + 1));
         assertTrue(session.isUsable());
     }
 
     @Test
-    void aMaskCoversItsPointCodes() throws SignallingProtocolException {
+    void maskedPointCodeIncludesFarPointCode() throws SignallingProtocolException {
         activate();
-        session.onMessage(3, M3uaMessage.destinationState(Kind.DUNA, 0x08000000 | (FAR & ~0xff)));
+        session.onMessage(3, M3uaMessage.destinationState(Kind.DUNA, 0x08000000 | (FAR_POINT_CODE & ~0xff)));
         assertFalse(session.isUsable());
     }
 
     @Test
-    void aProbeIsAnsweredOnceOrHasFailed() throws SignallingProtocolException {
+    void probeIsReportedOnceAsAnsweredOrFailed() throws SignallingProtocolException {
         activate();
         session.sendProbe(10);
         M3uaMessage beat = sent.get(sent.size() - 1);
@@ -126,31 +128,31 @@
         session.onMessage(21, new M3uaMessage(Kind.BEAT_ACK, beat.parameters()));
         session.sendProbe(30);
         timers.poll(300);
-        assertEquals(List.of("active", "probed true", "probed false"), told);
+        assertEquals(List.of("active", "probed true", "probed false"), events);
     }
 
     @Test
-    void aClosedConnectionFailsTheProbesThatAreOut() throws SignallingProtocolException {
+    void closingTheConnectionFailsOutstandingProbes() throws SignallingProtocolException {
         activate();
         session.sendProbe(10);
         session.onClosed(15);
-        assertEquals("probed false", told.get(1));
+        assertEquals("probed false", events.get(1));
         timers.poll(2_000);
-        assertEquals(2, told.size());
+        assertEquals(2, events.size());
     }
 
-    /** Guards against a far end that is gone without a reset: heartbeats that nothing answers. */
+    /** Guards against a connection that stays open after the far end failed without closing it. */
     @Test
-    void aSilentConnectionIsClosedAfterTwoHeartbeats() throws SignallingProtocolException {
+    void silentConnectionIsClosedAfterTwoHeartbeats() throws SignallingProtocolException {
         activate();
         for (double now = 10; now <= 4_000; now += 50) {
             timers.poll(now);
         }
-        assertTrue(told.get(1).startsWith("close no heartbeat"), told.toString());
+        assertTrue(events.get(1).startsWith("close no heartbeat"), events.toString());
     }
 
     @Test
-    void aHeartbeatIsGivenBackAsItCame() throws SignallingProtocolException {
+    void heartbeatDataIsReturnedUnchanged() throws SignallingProtocolException {
         activate();
         M3uaMessage beat =
                 M3uaMessage.of(Kind.BEAT, new M3uaMessage.Parameter(M3uaMessage.HEARTBEAT_DATA, new byte[] {1, 2, 3}));
--- a/src/test/java/damsonseam/ss7/SignallingCodecTest.java
+++ b/src/test/java/damsonseam/ss7/SignallingCodecTest.java
@@ -22,6 +22,7 @@
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
 
+/** Guards the M3UA and ISUP codecs against malformed messages and against encoding what they cannot decode. */
 class SignallingCodecTest {
 
     @Provide
@@ -36,32 +37,33 @@
     }
 
     @Property(tries = 500)
-    void m3uaReadsWhatItWrote(@ForAll("messages") M3uaMessage message) throws SignallingProtocolException {
-        M3uaMessage read = M3uaMessage.decode(message.encode());
-        assertEquals(message.kind(), read.kind());
-        assertEquals(message.parameters().size(), read.parameters().size());
-        for (int i = 0; i < read.parameters().size(); i++) {
+    void m3uaDecodesWhatItEncoded(@ForAll("messages") M3uaMessage message) throws SignallingProtocolException {
+        M3uaMessage decoded = M3uaMessage.decode(message.encode());
+        assertEquals(message.kind(), decoded.kind());
+        assertEquals(message.parameters().size(), decoded.parameters().size());
+        for (int i = 0; i < decoded.parameters().size(); i++) {
             assertEquals(
-                    message.parameters().get(i).tag(), read.parameters().get(i).tag());
+                    message.parameters().get(i).tag(),
+                    decoded.parameters().get(i).tag());
             assertArrayEquals(
                     message.parameters().get(i).value(),
-                    read.parameters().get(i).value());
+                    decoded.parameters().get(i).value());
         }
     }
 
-    /** Nothing but the codec's own error comes out of any octets. */
+    /** Arbitrary bytes must cause no exception other than that of the codec. */
     @Property(tries = 5_000)
-    void m3uaBearsAnything(@ForAll @Size(max = 80) byte[] octets) {
+    void m3uaDecoderThrowsOnlyItsOwnExceptionForArbitraryBytes(@ForAll @Size(max = 80) byte[] bytes) {
         try {
-            ProtocolData.from(M3uaMessage.decode(octets));
+            ProtocolData.from(M3uaMessage.decode(bytes));
         } catch (SignallingProtocolException e) {
             assertTrue(e.code() > 0);
         }
     }
 
-    /** Whole frames with a sound header and any parameters: these get further in than random octets do. */
+    /** A valid header with arbitrary parameters gets further into the decoder than random bytes do. */
     @Property(tries = 5_000)
-    void m3uaBearsAnythingBehindASoundHeader(
+    void m3uaDecoderThrowsOnlyItsOwnExceptionForArbitraryParameters(
             @ForAll @Size(max = 60) byte[] body,
             @ForAll @IntRange(max = 5) int messageClass,
             @ForAll @IntRange(max = 6) int type) {
@@ -79,13 +81,14 @@
     }
 
     @Property(tries = 10_000)
-    void isupBearsAnything(@ForAll @Size(max = 60) byte[] octets, @ForAll IsupMessage.Type type) {
+    void isupDecoderThrowsOnlyItsOwnExceptionForArbitraryBytes(
+            @ForAll @Size(max = 60) byte[] bytes, @ForAll IsupMessage.Type type) {
         try {
-            IsupMessage.decode(octets);
-            if (octets.length > 2) {
-                byte[] typed = octets.clone();
-                typed[2] = IsupMessage.of(0, IsupMessage.Type.RSC).encode()[2];
-                IsupMessage.decode(typed);
+            IsupMessage.decode(bytes);
+            if (bytes.length > 2) {
+                byte[] asReset = bytes.clone();
+                asReset[2] = IsupMessage.of(0, IsupMessage.Type.RSC).encode()[2];
+                IsupMessage.decode(asReset);
             }
         } catch (SignallingProtocolException e) {
             assertTrue(e.code() > 0);
@@ -93,44 +96,44 @@
     }
 
     @Property(tries = 300)
-    void isupReadsWhatItWrote(
+    void isupDecodesWhatItEncoded(
             @ForAll @IntRange(max = 4095) int circuit,
             @ForAll @NumericChars @StringLength(min = 1, max = 20) String number,
             @ForAll @IntRange(max = 255) int category,
             @ForAll @IntRange(max = 0xffffff) int reference)
             throws SignallingProtocolException {
-        IsupMessage read = IsupMessage.decode(IsupMessages.initialAddress(circuit, number, category, reference, 77)
+        IsupMessage decoded = IsupMessage.decode(IsupMessages.initialAddress(circuit, number, category, reference, 77)
                 .encode());
-        assertEquals(circuit, read.circuit());
-        assertEquals(IsupMessage.Type.IAM, read.type());
-        assertEquals(number, CalledPartyNumber.decode(read.parameterValue(IsupMessage.CALLED_PARTY_NUMBER)));
-        assertEquals((byte) category, read.parameterValue(IsupMessage.CALLING_PARTYS_CATEGORY)[0]);
-        assertEquals(reference, IsupMessages.callReference(read));
-        IsupMessage again = IsupMessage.decode(read.encode());
-        assertArrayEquals(read.encode(), again.encode());
+        assertEquals(circuit, decoded.circuit());
+        assertEquals(IsupMessage.Type.IAM, decoded.type());
+        assertEquals(number, CalledPartyNumber.decode(decoded.parameterValue(IsupMessage.CALLED_PARTY_NUMBER)));
+        assertEquals((byte) category, decoded.parameterValue(IsupMessage.CALLING_PARTYS_CATEGORY)[0]);
+        assertEquals(reference, IsupMessages.callReference(decoded));
+        IsupMessage redecoded = IsupMessage.decode(decoded.encode());
+        assertArrayEquals(decoded.encode(), redecoded.encode());
     }
 
     @Property(tries = 2_000)
-    void digitsBearAnything(@ForAll @Size(max = 20) byte[] octets) {
+    void calledPartyNumberThrowsOnlyTheDecodersExceptionForArbitraryBytes(@ForAll @Size(max = 20) byte[] bytes) {
         try {
-            CalledPartyNumber.decode(octets);
+            CalledPartyNumber.decode(bytes);
         } catch (SignallingProtocolException e) {
             assertTrue(e.code() > 0);
         }
     }
 
     @Property(tries = 300)
-    void aReportComesThroughAsFineAsItsSteps(
-            @ForAll @IntRange(max = 200) int util,
-            @ForAll @IntRange(max = 60_000) int queue,
-            @ForAll @IntRange(max = 60_000) int free)
+    void loadReportSurvivesRoundTripAtItsResolution(
+            @ForAll @IntRange(max = 200) int utilization,
+            @ForAll @IntRange(max = 60_000) int queueLength,
+            @ForAll @IntRange(max = 60_000) int freeLines)
             throws SignallingProtocolException {
         ServerLoadReport sent = new ServerLoadReport(
-                OptionalDouble.of(free),
+                OptionalDouble.of(freeLines),
                 OptionalDouble.empty(),
                 OptionalDouble.empty(),
-                OptionalDouble.of(util / 200.0),
-                OptionalDouble.of(queue));
+                OptionalDouble.of(utilization / 200.0),
+                OptionalDouble.of(queueLength));
         IsupMessage message = IsupMessage.decode(
                 IsupMessages.release(5, IsupMessage.NORMAL_CLEARING, LoadReportParameter.encode(sent))
                         .encode());
@@ -138,46 +141,47 @@
         assertEquals(IsupMessage.NORMAL_CLEARING, IsupMessages.cause(message));
     }
 
-    /** A set-up written out by hand from the tables of Q.763: pointers, digits and the end octet. */
+    /** An IAM written by hand from the tables of Q.763: pointers, digits and the end of optional parameters. */
     @Test
-    void aSetUpLooksAsTheRecommendationHasIt() throws SignallingProtocolException {
-        byte[] octets = HexFormat.of()
+    void initialAddressMessageMatchesRecommendation() throws SignallingProtocolException {
+        byte[] bytes = HexFormat.of()
                 .parseHex("0100" + "01" + "00" + "2001" + "0a" + "00" + "02" + "07" + "05" + "8410951204" + "01" + "05"
                         + "0102030000" + "00");
-        // 05 octets of number: odd, international; plan E.164; digits 5 9 2 1 4 (the last half octet filled).
-        IsupMessage message = IsupMessage.decode(octets);
+        // Called party number of 05 octets: odd, international; E.164; digits 5 9 2 1 4 and a filler.
+        IsupMessage message = IsupMessage.decode(bytes);
         assertEquals(1, message.circuit());
         assertEquals("59214", CalledPartyNumber.decode(message.parameterValue(IsupMessage.CALLED_PARTY_NUMBER)));
         assertEquals(0x010203, IsupMessages.callReference(message));
-        assertArrayEquals(octets, message.encode());
+        assertArrayEquals(bytes, message.encode());
     }
 
-    /** Found by fuzzing: a number so long that no pointer reaches past it read well and was written wrongly. */
+    /** Found by fuzzing: a number too long for any pointer to reach past it was decoded, but then encoded wrongly. */
     @Test
-    void aMandatoryPartThatNoPointerReachesPastIsRefused() throws SignallingProtocolException {
-        byte[] octets = new byte[300];
-        byte[] head = HexFormat.of().parseHex("0100" + "01" + "00" + "2001" + "0a" + "00" + "02" + "00" + "fe");
-        System.arraycopy(head, 0, octets, 0, head.length);
-        assertThrows(SignallingProtocolException.class, () -> IsupMessage.decode(octets));
-        octets[10] = (byte) 0xf0;
-        assertEquals(240, IsupMessage.decode(octets).parameterValue(IsupMessage.CALLED_PARTY_NUMBER).length);
+    void mandatoryPartBeyondPointerRangeIsRejected() throws SignallingProtocolException {
+        byte[] bytes = new byte[300];
+        byte[] header = HexFormat.of().parseHex("0100" + "01" + "00" + "2001" + "0a" + "00" + "02" + "00" + "fe");
+        System.arraycopy(header, 0, bytes, 0, header.length);
+        assertThrows(SignallingProtocolException.class, () -> IsupMessage.decode(bytes));
+        bytes[10] = (byte) 0xf0;
+        assertEquals(240, IsupMessage.decode(bytes).parameterValue(IsupMessage.CALLED_PARTY_NUMBER).length);
         assertThrows(IllegalArgumentException.class, () -> IsupMessage.of(
                         1, IsupMessage.Type.REL, new IsupMessage.Parameter(IsupMessage.CAUSE_INDICATORS, new byte[255]))
                 .encode());
     }
 
     @Test
-    void lengthsThatCannotBeAreRefusedBeforeAnyRoomIsTaken() {
+    void impossibleLengthsAreRejectedBeforeAllocation() {
         byte[] frame = M3uaMessage.of(M3uaMessage.Kind.BEAT).encode();
         frame[4] = (byte) 0xff;
         assertThrows(SignallingProtocolException.class, () -> M3uaMessage.decode(frame));
-        byte[] cut = {1, 0, 1, 1, 0, 0, 0, 12, 2, 0x10, (byte) 0xff, (byte) 0xff};
-        SignallingProtocolException e = assertThrows(SignallingProtocolException.class, () -> M3uaMessage.decode(cut));
+        byte[] invalidParameterLength = {1, 0, 1, 1, 0, 0, 0, 12, 2, 0x10, (byte) 0xff, (byte) 0xff};
+        SignallingProtocolException e =
+                assertThrows(SignallingProtocolException.class, () -> M3uaMessage.decode(invalidParameterLength));
         assertEquals(M3uaMessage.PARAMETER_FIELD_ERROR, e.code());
     }
 
     @Test
-    void errorsCarryTheCodeThatTheSpecificationAsksFor() {
+    void decodingErrorsCarryTheErrorCodeOfTheSpecification() {
         List<int[]> cases = new ArrayList<>();
         cases.add(new int[] {2, 1, 1, M3uaMessage.INVALID_VERSION});
         cases.add(new int[] {1, 7, 1, M3uaMessage.UNSUPPORTED_MESSAGE_CLASS});
--- a/src/test/java/damsonseam/ss7/TrunkGroupTest.java
+++ b/src/test/java/damsonseam/ss7/TrunkGroupTest.java
@@ -18,16 +18,17 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Guards the circuits and the reports of a trunk group against lost, late and crossing messages. */
 class TrunkGroupTest {
     private static final String NUMBER = "59821000000001";
     private final TimerWheel timers = new TimerWheel(0);
     private final List<IsupMessage> sent = new ArrayList<>();
-    private final List<String> told = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private final List<String> releases = new ArrayList<>();
     private final TrunkGroup group = group(4, true);
 
     private TrunkGroup group(int size, boolean controlsEven) {
-        TrunkGroup made = new TrunkGroup(
+        TrunkGroup created = new TrunkGroup(
                 new CircuitAllocator(size, controlsEven),
                 timers,
                 new TrunkGroup.TimerValues(1_000, 5_000, 2_000),
@@ -40,7 +41,7 @@
 
                     @Override
                     public void onAnswered(double now, long call, int attempt, ServerLoadReport report) {
-                        told.add("stands " + call + "/" + attempt);
+                        events.add("answered " + call + "/" + attempt);
                     }
 
                     @Override
@@ -48,11 +49,11 @@
                             double now,
                             long call,
                             int attempt,
-                            AttemptStatus result,
+                            AttemptStatus status,
                             RejectReason reason,
-                            OptionalDouble toldWait,
+                            OptionalDouble retryAfterMs,
                             ServerLoadReport report) {
-                        told.add("ended " + call + "/" + attempt + " " + result + " " + reason);
+                        events.add("ended " + call + "/" + attempt + " " + status + " " + reason);
                     }
 
                     @Override
@@ -60,39 +61,39 @@
                         releases.add(call + "/" + attempt);
                     }
                 });
-        made.onConnectionUp(0);
-        return made;
+        created.onConnectionUp(0);
+        return created;
     }
 
-    private IsupMessage last() {
+    private IsupMessage lastMessage() {
         return sent.get(sent.size() - 1);
     }
 
     private String lastSent() {
-        return last().type() + " " + last().circuit();
+        return lastMessage().type() + " " + lastMessage().circuit();
     }
 
     private int setUp(long call) {
         assertTrue(group.setUp(call, 0, NUMBER, 10));
-        return last().circuit();
+        return lastMessage().circuit();
     }
 
-    private void from(int circuit, IsupMessage.Type type) {
+    private void receive(int circuit, IsupMessage.Type type) {
         group.onMessage(1, IsupMessage.of(circuit, type));
     }
 
     @Test
-    void aCircuitIsTakenFromItsSetUpUntilItsReleaseIsComplete() {
+    void circuitIsInUseFromSetUpUntilReleaseIsComplete() {
         int circuit = setUp(1);
-        from(circuit, IsupMessage.Type.ANM);
+        receive(circuit, IsupMessage.Type.ANM);
         group.onMessage(2, IsupMessages.release(circuit, IsupMessage.NORMAL_CLEARING));
-        assertEquals(List.of("stands 1/0", "ended 1/0 COMPLETED NONE"), told);
+        assertEquals(List.of("answered 1/0", "ended 1/0 COMPLETED NONE"), events);
         assertEquals("RLC " + circuit, lastSent());
         assertEquals(4, group.idleCircuits());
     }
 
     @Test
-    void causesBecomeTheModulesResults() {
+    void causesMapToAttemptStatusAndReason() {
         int[][] causes = {
             {IsupMessage.NO_CIRCUIT_AVAILABLE},
             {IsupMessage.SWITCHING_EQUIPMENT_CONGESTION},
@@ -103,12 +104,12 @@
         for (int i = 0; i < causes.length; i++) {
             int circuit = setUp(i);
             group.onMessage(2, IsupMessages.release(circuit, causes[i][0]));
-            assertEquals("ended " + i + "/0 " + results[i], told.get(i));
+            assertEquals("ended " + i + "/0 " + results[i], events.get(i));
         }
     }
 
     @Test
-    void aCongestionLevelMakesAFaultANoticeOfPressureButNotAShortLine() {
+    void congestionLevelTurnsFailureIntoProcessorFullButKeepsNoLine() {
         int circuit = setUp(1);
         group.onMessage(
                 2,
@@ -118,26 +119,26 @@
                 2,
                 IsupMessages.release(
                         circuit, IsupMessage.NO_CIRCUIT_AVAILABLE, IsupMessages.automaticCongestionLevel(2)));
-        assertEquals(List.of("ended 1/0 FULL PROCESSOR_FULL", "ended 2/0 FULL NO_LINE"), told);
+        assertEquals(List.of("ended 1/0 FULL PROCESSOR_FULL", "ended 2/0 FULL NO_LINE"), events);
     }
 
-    /** Hard case: an answer that comes after our release changes nothing, and the circuit waits for its RLC. */
+    /** Guards against an answer that crosses the REL: it must be ignored, and the circuit must wait for its RLC. */
     @Test
-    void anAnswerAfterOurReleaseIsPassedOver() {
+    void answerAfterReleaseIsIgnored() {
         int circuit = setUp(1);
         group.release(5, 1, 0, IsupMessage.RECOVERY_ON_TIMER_EXPIRY);
         assertEquals("REL " + circuit, lastSent());
-        from(circuit, IsupMessage.Type.ANM);
-        assertTrue(told.isEmpty());
+        receive(circuit, IsupMessage.Type.ANM);
+        assertTrue(events.isEmpty());
         assertEquals(1, group.lateAnswers());
         assertEquals(3, group.idleCircuits());
-        from(circuit, IsupMessage.Type.RLC);
+        receive(circuit, IsupMessage.Type.RLC);
         assertEquals(4, group.idleCircuits());
     }
 
-    /** Hard case: the RLC is lost. The release goes out again, then the circuit is reset, then it is idle. */
+    /** Guards against a circuit that stays in use after a lost RLC: the REL is repeated, then the circuit is reset. */
     @Test
-    void aLostReleaseCompleteIsAskedForAgainAndThenReset() {
+    void lostReleaseCompleteIsFollowedByRetransmissionAndReset() {
         int circuit = setUp(1);
         group.release(0, 1, 0, IsupMessage.NORMAL_CLEARING);
         int before = sent.size();
@@ -149,88 +150,88 @@
         }
         assertEquals("RSC " + circuit, lastSent());
         assertEquals(3, group.idleCircuits());
-        from(circuit, IsupMessage.Type.RLC);
+        receive(circuit, IsupMessage.Type.RLC);
         assertEquals(4, group.idleCircuits());
         assertEquals(0, timers.size());
     }
 
     @Test
-    void releasesThatCrossLeaveTheCircuitIdle() {
+    void crossingReleasesLeaveCircuitIdle() {
         int circuit = setUp(1);
         group.release(0, 1, 0, IsupMessage.NORMAL_CLEARING);
         group.onMessage(1, IsupMessages.release(circuit, IsupMessage.USER_BUSY));
-        assertTrue(told.isEmpty());
+        assertTrue(events.isEmpty());
         assertEquals(4, group.idleCircuits());
-        from(circuit, IsupMessage.Type.RLC);
+        receive(circuit, IsupMessage.Type.RLC);
         assertEquals(4, group.idleCircuits());
     }
 
-    /** Hard case: the connection dies with set-ups out. Each is told once, and its circuit is reset first. */
+    /** Guards against calls reported twice, and circuits reused without a reset, after the connection is lost. */
     @Test
-    void aLostConnectionEndsEachAttemptOnceAndResetsItsCircuits() {
-        int one = setUp(1);
-        int two = setUp(2);
-        from(two, IsupMessage.Type.ANM);
-        told.clear();
+    void lostConnectionEndsEachAttemptOnceAndResetsCircuits() {
+        int firstCircuit = setUp(1);
+        int secondCircuit = setUp(2);
+        receive(secondCircuit, IsupMessage.Type.ANM);
+        events.clear();
         group.onConnectionLost(10);
-        assertEquals(2, told.size());
-        assertTrue(told.stream().allMatch(t -> t.endsWith("RESET NONE")));
+        assertEquals(2, events.size());
+        assertTrue(events.stream().allMatch(t -> t.endsWith("RESET NONE")));
         assertEquals(2, group.idleCircuits());
         sent.clear();
         group.onConnectionUp(500);
         assertEquals(
                 2, sent.stream().filter(m -> m.type() == IsupMessage.Type.RSC).count());
         assertEquals(2, group.idleCircuits());
-        from(one, IsupMessage.Type.RLC);
-        from(two, IsupMessage.Type.RLC);
+        receive(firstCircuit, IsupMessage.Type.RLC);
+        receive(secondCircuit, IsupMessage.Type.RLC);
         assertEquals(4, group.idleCircuits());
     }
 
     @Test
-    void resetsAfterALostConnectionComeInAWindow() {
-        TrunkGroup large = group(200, false);
+    void outstandingResetsAfterLostConnectionAreLimited() {
+        TrunkGroup largeGroup = group(200, false);
         for (int call = 0; call < 150; call++) {
-            large.setUp(call, 0, NUMBER, 10);
+            largeGroup.setUp(call, 0, NUMBER, 10);
         }
-        large.onConnectionLost(10);
+        largeGroup.onConnectionLost(10);
         sent.clear();
-        large.onConnectionUp(20);
+        largeGroup.onConnectionUp(20);
         assertEquals(32, sent.size());
         for (int i = 0; i < sent.size(); i++) {
-            large.onMessage(30, IsupMessage.of(sent.get(i).circuit(), IsupMessage.Type.RLC));
+            largeGroup.onMessage(30, IsupMessage.of(sent.get(i).circuit(), IsupMessage.Type.RLC));
         }
         assertEquals(150, sent.size());
-        assertEquals(200, large.idleCircuits());
+        assertEquals(200, largeGroup.idleCircuits());
     }
 
-    /** Both ends seize: the end that controls the circuit goes on, the other gives way (Q.764 2.9.1.4). */
+    /** Both ends seize a circuit: the end that controls it continues, the other one backs off (Q.764 2.9.1.4). */
     @Test
-    void dualSeizureIsWonByTheControllingEnd() {
-        int own = setUp(1);
-        assertEquals(0, own % 2);
-        group.onMessage(1, IsupMessages.initialAddress(own, NUMBER, 10, 5, 1));
-        assertTrue(told.isEmpty());
+    void controllingEndWinsDualSeizure() {
+        int controlled = setUp(1);
+        assertEquals(0, controlled % 2);
+        group.onMessage(1, IsupMessages.initialAddress(controlled, NUMBER, 10, 5, 1));
+        assertTrue(events.isEmpty());
         setUp(2);
-        int theirs = setUp(3);
-        assertEquals(1, theirs % 2);
-        group.onMessage(1, IsupMessages.initialAddress(theirs, NUMBER, 10, 6, 1));
-        assertEquals(List.of("ended 3/0 FULL NO_LINE"), told);
-        assertEquals("REL " + theirs, lastSent());
+        int notControlled = setUp(3);
+        assertEquals(1, notControlled % 2);
+        group.onMessage(1, IsupMessages.initialAddress(notControlled, NUMBER, 10, 6, 1));
+        assertEquals(List.of("ended 3/0 FULL NO_LINE"), events);
+        assertEquals("REL " + notControlled, lastSent());
         assertEquals(2, group.dualSeizures());
     }
 
     @Test
-    void theFarEndsResetCutsTheCallAndFreesTheCircuit() {
+    void resetByFarEndEndsCallAndFreesCircuit() {
         int circuit = setUp(1);
-        from(circuit, IsupMessage.Type.ANM);
-        from(circuit, IsupMessage.Type.RSC);
-        assertEquals("ended 1/0 RESET NONE", told.get(1));
+        receive(circuit, IsupMessage.Type.ANM);
+        receive(circuit, IsupMessage.Type.RSC);
+        assertEquals("ended 1/0 RESET NONE", events.get(1));
         assertEquals("RLC " + circuit, lastSent());
         assertEquals(4, group.idleCircuits());
     }
 
     @Test
-    void aGroupResetIsAcknowledgedOnceAndCutsItsRange() {
+    void groupResetIsAcknowledgedOnceAndEndsCallsOfItsRange() {
         setUp(1);
         setUp(2);
         sent.clear();
@@ -239,45 +240,49 @@
                 IsupMessage.of(
                         1, IsupMessage.Type.GRS, new IsupMessage.Parameter(IsupMessage.RANGE_AND_STATUS, new byte[] {3
                         })));
-        assertEquals(2, told.size());
+        assertEquals(2, events.size());
         assertEquals("GRA 1", lastSent());
         assertEquals(4, group.idleCircuits());
     }
 
     @Test
-    void blockedCircuitsAreNotTaken() {
+    void blockedCircuitsAreNotSeized() {
         for (int c = 1; c <= 4; c++) {
-            from(c, IsupMessage.Type.BLO);
+            receive(c, IsupMessage.Type.BLO);
         }
         assertFalse(group.setUp(1, 0, NUMBER, 10));
-        from(3, IsupMessage.Type.UBL);
+        receive(3, IsupMessage.Type.UBL);
         assertEquals(3, setUp(1));
     }
 
-    /** Whatever comes in whatever order: no circuit leaks, and each attempt ends at most once. */
+    /** For any messages in any order, no circuit leaks and each attempt ends at most once. */
     @Property(tries = 400)
-    void anyTenMessagesLeaveNoCircuitBehind(@ForAll @Size(max = 10) List<@IntRange(max = 199) Integer> events) {
-        TrunkGroupTest t = new TrunkGroupTest();
+    void arbitraryMessagesLeakNoCircuit(@ForAll @Size(max = 10) List<@IntRange(max = 199) Integer> steps) {
+        TrunkGroupTest test = new TrunkGroupTest();
         long call = 0;
-        for (int event : events) {
-            int circuit = event % 4 + 1;
-            IsupMessage.Type type = IsupMessage.Type.values()[event / 4 % IsupMessage.Type.values().length];
-            switch (event % 5) {
-                case 0 -> t.group.setUp(call++, 0, NUMBER, 10);
-                case 1 -> t.group.release(1, event % 3, 0, IsupMessage.NORMAL_CLEARING);
-                default -> t.group.onMessage(1, message(circuit, type));
+        for (int step : steps) {
+            int circuit = step % 4 + 1;
+            IsupMessage.Type type = IsupMessage.Type.values()[step / 4 % IsupMessage.Type.values().length];
+            switch (step % 5) {
+                case 0 -> test.group.setUp(call++, 0, NUMBER, 10);
+                case 1 -> test.group.release(1, step % 3, 0, IsupMessage.NORMAL_CLEARING);
+                default -> test.group.onMessage(1, message(circuit, type));
             }
         }
         for (int c = 1; c <= 4; c++) {
-            t.group.onMessage(2, IsupMessage.of(c, IsupMessage.Type.UBL));
-            t.group.onMessage(2, IsupMessage.of(c, IsupMessage.Type.RSC));
-            t.group.onMessage(2, IsupMessage.of(c, IsupMessage.Type.RLC));
+            test.group.onMessage(2, IsupMessage.of(c, IsupMessage.Type.UBL));
+            test.group.onMessage(2, IsupMessage.of(c, IsupMessage.Type.RSC));
+            test.group.onMessage(2, IsupMessage.of(c, IsupMessage.Type.RLC));
         }
-        assertEquals(4, t.group.idleCircuits());
-        assertEquals(0, t.group.busyCircuits());
-        long ends =
-                t.told.stream().filter(s -> s.startsWith("ended")).distinct().count();
-        assertEquals(ends, t.told.stream().filter(s -> s.startsWith("ended")).count());
+        assertEquals(4, test.group.idleCircuits());
+        assertEquals(0, test.group.busyCircuits());
+        long endedEvents = test.events.stream()
+                .filter(s -> s.startsWith("ended"))
+                .distinct()
+                .count();
+        assertEquals(
+                endedEvents,
+                test.events.stream().filter(s -> s.startsWith("ended")).count());
     }
 
     private static IsupMessage message(int circuit, IsupMessage.Type type) {
