--- a/src/main/java/damsonseam/standin/Calculator.java
+++ b/src/main/java/damsonseam/standin/Calculator.java
@@ -136,8 +136,7 @@
     /**
      * Starts listening and clears all faults.
      *
-     * @param requestedAddress address to listen on; ignored after the first start, which a restart takes its
-     *     address from
+     * @param requestedAddress address to listen on; ignored on a restart, which keeps the address of the first start
      * @param cold whether the processor starts at a share of its capacity and warms up
      */
     public void start(InetSocketAddress requestedAddress, boolean cold) throws IOException, InterruptedException {
--- a/src/main/java/damsonseam/standin/LoopbackPorts.java
+++ b/src/main/java/damsonseam/standin/LoopbackPorts.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Chooses ports for stand-ins that are restarted on the same address. While a stand-in is down, the system could
- * assign an ephemeral port to an outgoing connection, even to one towards that very port. The ports chosen here lie
- * below the ephemeral range.
+ * Chooses ports for stand-ins that are restarted on the same address. If a stand-in
+ * used an ephemeral port, the system could, while it is down, assign that port to an outgoing connection, even to one
+ * towards that very port. The ports chosen here lie below the ephemeral range.
  */
 final class LoopbackPorts {
     private static final int FIRST_PORT = 12_000;
--- a/src/main/java/damsonseam/standin/RandomRoutingPolicy.java
+++ b/src/main/java/damsonseam/standin/RandomRoutingPolicy.java
@@ -86,6 +86,7 @@
 
     @Override
     public void onTimer(double now, long token) {
+        // Token 0 follows the server list again; any other token is the id of a call to try again.
         if (token == 0) {
             actions.followServerList();
         } else if (attemptCounts.containsKey(token)) {
