--- a/src/main/java/damsonseam/standin/SimulatedPeers.java
+++ b/src/main/java/damsonseam/standin/SimulatedPeers.java
@@ -1,7 +1,7 @@
 package damsonseam.standin;
 
+import damsonseam.audit.RunParameters;
 import damsonseam.audit.WireLog;
-import damsonseam.audit.World;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.config.TimeSpan;
@@ -196,15 +196,15 @@
     }
 
     /** Returns the description of this run for the audit. */
-    public World world(List<World.FrontAt> fronts) {
+    public RunParameters world(List<RunParameters.FrontAddress> fronts) {
         CalculatorSettings each = scenario.calculators().each();
-        List<World.Numbers> numbers = scenario.load().classes().stream()
-                .map(k -> new World.Numbers(k.prefix(), k.patience().ms()))
+        List<RunParameters.NumberRange> numbers = scenario.load().classes().stream()
+                .map(k -> new RunParameters.NumberRange(k.prefix(), k.patience().ms()))
                 .toList();
-        List<World.Calculator> worldCalculators = calculators.stream()
-                .map(c -> new World.Calculator(c.id(), c.pointCode(), each.setUpsPerS()))
+        List<RunParameters.Calculator> worldCalculators = calculators.stream()
+                .map(c -> new RunParameters.Calculator(c.id(), c.pointCode(), each.setUpsPerS()))
                 .toList();
-        return new World(
+        return new RunParameters(
                 SUFFIX,
                 numbers,
                 fronts,
