--- a/src/main/java/damsonseam/node/CallRegistry.java
+++ b/src/main/java/damsonseam/node/CallRegistry.java
@@ -89,12 +89,12 @@
 
     /** Adds a call before it is passed to the core, which may answer it at once. */
     void add(NodeCall call) {
-        byCallId.put(call.id, call);
+        byCallId.put(call.callId, call);
     }
 
     /** Sets the core's record of a call, unless the call was answered at once and is no longer registered. */
     void attachRecord(NodeCall call, CallRecord record) {
-        if (record != null && byCallId.get(call.id) == call) {
+        if (record != null && byCallId.get(call.callId) == call) {
             call.record = record;
             byRecordId.put(record.id(), call);
         }
@@ -106,7 +106,7 @@
      * the limit is reached, the caller gets a release.
      */
     void adopt(NodeCall call, ServerEndpoint server, double now) {
-        RecentRelease recent = recentReleases.get(call.id);
+        RecentRelease recent = recentReleases.get(call.callId);
         if (recent != null
                 && recent.serverId.equals(server.id())
                 && now - recent.releasedAtMs <= RECENT_RELEASE_MAX_AGE_MS) {
@@ -115,7 +115,7 @@
             releases.send(call, CAUSE_TEMPORARY_FAILURE);
         } else {
             adoptedCalls++;
-            byCallId.put(call.id, call);
+            byCallId.put(call.callId, call);
             establish(call, server, now);
         }
     }
@@ -138,7 +138,7 @@
 
     private static void logCallEvent(NodeCall call, String event) {
         LOG.atDebug()
-                .addKeyValue("id", call.id)
+                .addKeyValue("id", call.callId)
                 .addKeyValue("server", call.establishedServer == null ? "" : call.establishedServer.id())
                 .log(event);
     }
@@ -148,7 +148,7 @@
         CallerConnection caller = call.caller;
         if (finalAnswer.kind() == FinalAnswer.Kind.STANDS) {
             establish(call, call.answeringServer, now);
-            SipMessage ok = SipMessage.response(SipMessage.OK, "OK", call.id, call.cseq, call.answer);
+            SipMessage ok = SipMessage.response(SipMessage.OK, "OK", call.callId, call.cseq, call.answer);
             if (call.answerContentType != null) {
                 ok.addHeader("Content-Type", call.answerContentType);
             }
@@ -156,7 +156,7 @@
             caller.removePending(call);
             caller.send(ok, written -> {
                 // The caller's connection is closed: it will never get the response, so the call is released.
-                if (!written && byCallId.get(call.id) == call && call.caller == caller) {
+                if (!written && byCallId.get(call.callId) == call && call.caller == caller) {
                     releaseByCaller(call);
                     releases.send(call, CAUSE_NORMAL_CLEARING);
                 }
@@ -169,8 +169,8 @@
         }
         caller.removePending(call);
         SipMessage refusal = finalAnswer.kind() == FinalAnswer.Kind.REFUSED
-                ? SipMessage.response(SERVICE_UNAVAILABLE, "Service Unavailable", call.id, call.cseq)
-                : SipMessage.response(SERVER_INTERNAL_ERROR, "Server Internal Error", call.id, call.cseq);
+                ? SipMessage.response(SERVICE_UNAVAILABLE, "Service Unavailable", call.callId, call.cseq)
+                : SipMessage.response(SERVER_INTERNAL_ERROR, "Server Internal Error", call.callId, call.cseq);
         if (finalAnswer.retryAfterMs() >= 1) {
             refusal.addHeader("X-Pause", Long.toString(Math.round(finalAnswer.retryAfterMs())));
         }
@@ -187,25 +187,25 @@
     void releaseByCaller(NodeCall call) {
         ServerEndpoint server = call.establishedServer;
         finishRelease(call, AttemptStatus.CANCELLED, ServerLoadReport.NONE, CAUSE_NORMAL_CLEARING);
-        server.sendBye(call.id, call.requestUri);
+        server.sendBye(call.callId, call.requestUri);
     }
 
     /** Ends an established call that its server released, or that ended with its server, and releases its caller. */
-    void onReleasedByServer(NodeCall call, AttemptStatus result, ServerLoadReport report) {
-        int cause = result == AttemptStatus.COMPLETED ? CAUSE_NORMAL_CLEARING : CAUSE_TEMPORARY_FAILURE;
-        finishRelease(call, result, report, cause);
+    void onReleasedByServer(NodeCall call, AttemptStatus status, ServerLoadReport report) {
+        int cause = status == AttemptStatus.COMPLETED ? CAUSE_NORMAL_CLEARING : CAUSE_TEMPORARY_FAILURE;
+        finishRelease(call, status, report, cause);
         releases.send(call, cause);
     }
 
-    private void finishRelease(NodeCall call, AttemptStatus result, ServerLoadReport report, int cause) {
-        recordRelease(call.establishedServer.id(), call.id, cause);
-        logCallEvent(call, "call released: " + result);
+    private void finishRelease(NodeCall call, AttemptStatus status, ServerLoadReport report, int cause) {
+        recordRelease(call.establishedServer.id(), call.callId, cause);
+        logCallEvent(call, "call released: " + status);
         if (call.record != null) {
             router.attemptEnded(
                     router.now(),
                     call.record.id(),
                     call.record.attempts() - 1,
-                    result,
+                    status,
                     RejectReason.NONE,
                     OptionalDouble.empty(),
                     report);
@@ -214,7 +214,7 @@
     }
 
     private void remove(NodeCall call) {
-        if (byCallId.remove(call.id, call)) {
+        if (byCallId.remove(call.callId, call)) {
             if (call.record != null) {
                 byRecordId.remove(call.record.id());
             } else if (call.establishedServer != null) {
--- a/src/main/java/damsonseam/node/CallerConnection.java
+++ b/src/main/java/damsonseam/node/CallerConnection.java
@@ -375,7 +375,7 @@
         CallerConnection owner = call.caller;
         owner.pendingCalls.remove(call);
         listener.callRegistry().abandon(call);
-        owner.send(SipMessage.response(REQUEST_TERMINATED, "Request Terminated", call.id, call.cseq), null);
+        owner.send(SipMessage.response(REQUEST_TERMINATED, "Request Terminated", call.callId, call.cseq), null);
     }
 
     private void onBye(SipMessage message) {
--- a/src/main/java/damsonseam/node/InviteParser.java
+++ b/src/main/java/damsonseam/node/InviteParser.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Parses and validates the INVITE of a caller according to the settings' classes. Also holds the fields of load
- * reports, which the settings define too. Immutable.
+ * Parses and validates the INVITE requests of callers, whose classes the settings define. Also provides the parser of
+ * the servers' load reports, whose fields the settings define too. Immutable.
  */
 final class InviteParser {
     private static final int CALL_ID_LENGTH = 16;
@@ -19,16 +19,16 @@
     private static final String SIP_SCHEME = "sip:";
 
     private final List<String> classNames;
-    private final LoadReportParser reportFields;
+    private final LoadReportParser loadReportParser;
     private final double maxPatienceMs;
 
     InviteParser(PlatformSettings settings) {
         classNames = settings.classNames();
         maxPatienceMs = settings.moduleSettings(0).classes().stream()
-                .mapToDouble(c -> c.deadline().orElse(MAX_TIMER_MS))
+                .mapToDouble(callClass -> callClass.deadline().orElse(MAX_TIMER_MS))
                 .max()
                 .orElse(MAX_TIMER_MS);
-        reportFields = new LoadReportParser(settings.reportFields(), ';');
+        loadReportParser = new LoadReportParser(settings.reportFields(), ';');
     }
 
     /** Returns the longest time for which a caller of any class waits for an answer, in milliseconds. */
@@ -36,8 +36,8 @@
         return maxPatienceMs;
     }
 
-    LoadReportParser reportFields() {
-        return reportFields;
+    LoadReportParser loadReportParser() {
+        return loadReportParser;
     }
 
     /**
@@ -108,10 +108,10 @@
             require(colon > 0, "X-Legs as name:value pairs");
             String value = pair.substring(colon + 1).strip();
             switch (pair.substring(0, colon).strip()) {
-                case "dest" -> destinationCell = (int) parseNumber(value, -1, MAX_LEG_VALUE, "dest");
-                case "width" -> parseNumber(value, 0, MAX_LEG_VALUE, "width");
-                case "via" -> parseNumber(value, -1, MAX_LEG_VALUE, "via");
-                case "again" -> parseNumber(value, 0, 1, "again");
+                case "dest" -> destinationCell = (int) parseBoundedNumber(value, -1, MAX_LEG_VALUE, "dest");
+                case "width" -> parseBoundedNumber(value, 0, MAX_LEG_VALUE, "width");
+                case "via" -> parseBoundedNumber(value, -1, MAX_LEG_VALUE, "via");
+                case "again" -> parseBoundedNumber(value, 0, 1, "again");
                 case "at" -> {
                     require(value.matches("s-[0-9a-f]{8}"), "at with a server");
                     establishedServerId = value;
@@ -122,7 +122,7 @@
         String timer = invite.headers().get("X-Timer-Ms");
         double patienceMs = establishedServerId != null && timer == null
                 ? 0
-                : parseNumber(timer == null ? "" : timer, 0, MAX_TIMER_MS, "X-Timer-Ms");
+                : parseBoundedNumber(timer == null ? "" : timer, 0, MAX_TIMER_MS, "X-Timer-Ms");
         return new SetUpRequest(
                 invite.callId(),
                 requestUri,
@@ -136,7 +136,8 @@
                 legs);
     }
 
-    private static double parseNumber(String text, double min, double max, String name) throws InvalidInviteException {
+    private static double parseBoundedNumber(String text, double min, double max, String name)
+            throws InvalidInviteException {
         try {
             double value = Double.parseDouble(text);
             require(value >= min && value <= max, name + " from " + (long) min + " to " + (long) max);
--- a/src/main/java/damsonseam/node/NodeCall.java
+++ b/src/main/java/damsonseam/node/NodeCall.java
@@ -10,7 +10,7 @@
  */
 final class NodeCall implements RouterPorts.Caller {
     /** The caller's Call-ID. */
-    final String id;
+    final String callId;
     /** The Request-URI of the INVITE. */
     final String requestUri;
     /** The name of the call's class. */
@@ -44,7 +44,7 @@
 
     NodeCall(
             CallRegistry callRegistry,
-            String id,
+            String callId,
             String requestUri,
             String className,
             String legs,
@@ -52,7 +52,7 @@
             byte[] offer,
             CallerConnection caller) {
         this.callRegistry = callRegistry;
-        this.id = id;
+        this.callId = callId;
         this.requestUri = requestUri;
         this.className = className;
         this.legs = legs;
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -80,7 +80,7 @@
         serverEndpoints = new ServerEndpoints(
                 loop,
                 callRegistry,
-                inviteParser.reportFields(),
+                inviteParser.loadReportParser(),
                 config.settings().connectTimeout().orElse(DEFAULT_CONNECT_TIMEOUT_MS),
                 maxServerConnections,
                 config.seed(),
--- a/src/main/java/damsonseam/node/PendingReleases.java
+++ b/src/main/java/damsonseam/node/PendingReleases.java
@@ -96,7 +96,7 @@
             oldest.remove();
         }
         PendingRelease release = new PendingRelease(call, cause, router.now());
-        pending.put(call.id, release);
+        pending.put(call.callId, release);
         CallerConnection callerConnection = call.caller;
         send(
                 release,
@@ -109,14 +109,14 @@
         release.connection = connection;
         if (connection == null) {
             LOG.atInfo()
-                    .addKeyValue("id", release.call.id)
+                    .addKeyValue("id", release.call.callId)
                     .addKeyValue("cause", release.cause)
                     .addKeyValue("said", release.transmissions)
                     .log("release waits for a connection from its caller");
             return;
         }
         LOG.atDebug()
-                .addKeyValue("id", release.call.id)
+                .addKeyValue("id", release.call.callId)
                 .addKeyValue("to", connection.toString())
                 .addKeyValue("own", connection == release.call.caller)
                 .addKeyValue("said", release.transmissions)
@@ -124,7 +124,7 @@
         release.transmissions++;
         release.sentAtMs = loop.now();
         connection.send(
-                SipMessage.request(SipMessage.BYE, release.call.requestUri, release.call.id, 2)
+                SipMessage.request(SipMessage.BYE, release.call.requestUri, release.call.callId, 2)
                         .addHeader(SipHeaders.REASON, "Q.850;cause=" + release.cause),
                 null);
     }
--- a/src/main/java/damsonseam/node/ServerEndpoint.java
+++ b/src/main/java/damsonseam/node/ServerEndpoint.java
@@ -113,7 +113,7 @@
         }
 
         String key() {
-            return ServerEndpoint.key(nodeCall.id, index);
+            return ServerEndpoint.key(nodeCall.callId, index);
         }
     }
 
@@ -375,14 +375,14 @@
     /** Starts an attempt, which may wait for a connection first; returns false if it cannot be sent. */
     boolean setUp(NodeCall nodeCall, long recordId, int index, double deadlineMs) {
         Attempt attempt = new Attempt(nodeCall, recordId, index, deadlineMs);
-        if (!active || !assignConnection(attempt)) {
+        if (!active || !tryAssignConnection(attempt)) {
             return false;
         }
         attempts.put(attempt.key(), attempt);
         return true;
     }
 
-    private boolean assignConnection(Attempt attempt) {
+    private boolean tryAssignConnection(Attempt attempt) {
         ServerConnection connection = leastLoadedConnection(false);
         if (connection == null && queuedAttempts.size() < MAX_QUEUED_REQUESTS && connect()) {
             queuedAttempts.add(attempt);
@@ -402,7 +402,7 @@
     /** Assigns another connection to an attempt whose connection closed before the set-up was sent. */
     private void reassign(Attempt attempt) {
         attempt.connection = null;
-        if (!active || !assignConnection(attempt)) {
+        if (!active || !tryAssignConnection(attempt)) {
             endAttempt(attempt, AttemptStatus.UNREACHABLE, RejectReason.NONE, ServerLoadReport.NONE);
         }
     }
@@ -426,7 +426,7 @@
         attempt.sentAtMs = now();
         NodeCall call = attempt.nodeCall;
         SipMessage invite = SipMessage.request(
-                        SipMessage.INVITE, call.requestUri, call.id, attempt.index + 1, call.offer)
+                        SipMessage.INVITE, call.requestUri, call.callId, attempt.index + 1, call.offer)
                 .addHeader("X-Cos", call.className)
                 .addHeader("X-Timer-Ms", Long.toString(Math.max(1, (long) (attempt.deadlineMs - now()))));
         if (call.legs != null) {
@@ -460,12 +460,12 @@
                 });
     }
 
-    private void endAttempt(Attempt attempt, AttemptStatus result, RejectReason reason, ServerLoadReport report) {
+    private void endAttempt(Attempt attempt, AttemptStatus status, RejectReason reason, ServerLoadReport report) {
         attempts.remove(attempt.key());
         if (attempt.connection != null) {
             attempt.connection.adjustOutstanding(-1);
         }
-        router.attemptEnded(now(), attempt.recordId, attempt.index, result, reason, OptionalDouble.empty(), report);
+        router.attemptEnded(now(), attempt.recordId, attempt.index, status, reason, OptionalDouble.empty(), report);
         closeIfUnused();
     }
 
@@ -521,7 +521,7 @@
         }
         router.fireOverdueTimers(now);
         router.advanceClock(now);
-        ServerLoadReport report = parseReport(message);
+        ServerLoadReport report = parseLoadReport(message);
         if (!message.isRequest()) {
             onResponse(connection, message, report, now);
         } else if (message.method().equals(SipMessage.NOTIFY)) {
@@ -543,9 +543,11 @@
                 && message.status() != SipMessage.OK;
     }
 
-    private ServerLoadReport parseReport(SipMessage message) {
+    private ServerLoadReport parseLoadReport(SipMessage message) {
         String text = message.headers().get("X-Occupancy");
-        return text == null ? ServerLoadReport.NONE : context.reportFields().parse(text, IllegalArgumentException::new);
+        return text == null
+                ? ServerLoadReport.NONE
+                : context.loadReportParser().parse(text, IllegalArgumentException::new);
     }
 
     private void onResponse(ServerConnection connection, SipMessage message, ServerLoadReport report, double now) {
@@ -571,10 +573,10 @@
         }
         connection.send(
                 SipMessage.request(
-                        SipMessage.ACK, attempt.nodeCall.requestUri, attempt.nodeCall.id, message.cseqNumber()),
+                        SipMessage.ACK, attempt.nodeCall.requestUri, attempt.nodeCall.callId, message.cseqNumber()),
                 null);
         if (message.status() >= 300) {
-            endAttempt(attempt, resultOf(message.status()), reasonOf(message), report);
+            endAttempt(attempt, attemptStatusOf(message.status()), rejectReasonOf(message), report);
             return;
         }
         attempts.remove(key);
@@ -589,7 +591,7 @@
         if (call.establishedServer == null) {
             // The core took the answer for too late: nobody waits for this call any more.
             call.answer = null;
-            sendBye(call.id, call.requestUri);
+            sendBye(call.callId, call.requestUri);
         }
     }
 
@@ -600,21 +602,21 @@
             connection.send(
                     SipMessage.request(SipMessage.ACK, requestUri, message.callId(), message.cseqNumber()), null);
             // The call's next attempt may be outstanding or established here: a BYE names the call and would end it.
-            if (message.status() < 300 && !hasAttemptOrCall(message.callId())) {
+            if (message.status() < 300 && !isHandlingCall(message.callId())) {
                 sendBye(message.callId(), requestUri);
             }
         }
     }
 
-    private boolean hasAttemptOrCall(String callId) {
+    private boolean isHandlingCall(String callId) {
         NodeCall call = context.callRegistry().get(callId);
         return call != null
                 && (call.establishedServer == this
                         || attempts.values().stream().anyMatch(attempt -> attempt.nodeCall == call));
     }
 
-    private static AttemptStatus resultOf(int status) {
-        return switch (status) {
+    private static AttemptStatus attemptStatusOf(int statusCode) {
+        return switch (statusCode) {
             case 503 -> AttemptStatus.FULL;
             case 480 -> AttemptStatus.NOT_SENT;
             case 504 -> AttemptStatus.RESET;
@@ -622,7 +624,7 @@
         };
     }
 
-    private static RejectReason reasonOf(SipMessage message) {
+    private static RejectReason rejectReasonOf(SipMessage message) {
         return switch (String.valueOf(message.headers().get("X-Diagnosis"))) {
             case "all_trunks_busy" -> RejectReason.NO_LINE;
             case "via_said_no", "far_cpu_full" -> RejectReason.BEYOND_FULL;
--- a/src/main/java/damsonseam/node/ServerEndpoints.java
+++ b/src/main/java/damsonseam/node/ServerEndpoints.java
@@ -31,7 +31,7 @@
      *
      * @param loop the node's event loop and timers
      * @param callRegistry the node's calls
-     * @param reportFields the fields of a server's load report
+     * @param loadReportParser parser of the servers' load reports
      * @param connectTimeoutMs limit of a connection attempt and of a probe, in milliseconds
      * @param hasCapacity whether one more connection is allowed beside the first to each server
      * @param random source of the jitter that keeps front nodes out of step
@@ -40,7 +40,7 @@
     record EndpointContext(
             CoreLoop loop,
             CallRegistry callRegistry,
-            LoadReportParser reportFields,
+            LoadReportParser loadReportParser,
             double connectTimeoutMs,
             BooleanSupplier hasCapacity,
             SplittableRandom random,
@@ -61,7 +61,7 @@
     ServerEndpoints(
             CoreLoop loop,
             CallRegistry callRegistry,
-            LoadReportParser reportFields,
+            LoadReportParser loadReportParser,
             double connectTimeoutMs,
             int maxConnections,
             long seed,
@@ -70,7 +70,7 @@
         context = new EndpointContext(
                 loop,
                 callRegistry,
-                reportFields,
+                loadReportParser,
                 connectTimeoutMs,
                 () -> endpoints.values().stream()
                                 .mapToInt(ServerEndpoint::connectionCount)
@@ -85,8 +85,8 @@
         context.loop().timers().schedule(context.loop().now() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
-    ServerEndpoint get(String id) {
-        return endpoints.get(id);
+    ServerEndpoint get(String serverId) {
+        return endpoints.get(serverId);
     }
 
     int size() {
@@ -117,9 +117,9 @@
     }
 
     /** Applies the server list: new servers get an endpoint, delisted ones lose theirs once their calls are over. */
-    void applyServerList(ServerList pool) {
+    void applyServerList(ServerList serverList) {
         Set<String> listedIds = new HashSet<>();
-        for (ServerList.Server server : pool.servers()) {
+        for (ServerList.Server server : serverList.servers()) {
             listedIds.add(server.id());
             ServerEndpoint endpoint = endpoints.get(server.id());
             if (endpoint == null) {
@@ -148,27 +148,27 @@
 
     @Override
     public RouterPorts.SendFailure sendSetUp(
-            double now, String server, long call, int attempt, double until, CallRecord record) {
-        ServerEndpoint endpoint = endpoints.get(server);
-        NodeCall nodeCall = context.callRegistry().get(call);
-        return endpoint != null && nodeCall != null && endpoint.setUp(nodeCall, call, attempt, until)
+            double now, String serverId, long recordId, int attemptIndex, double deadlineMs, CallRecord record) {
+        ServerEndpoint endpoint = endpoints.get(serverId);
+        NodeCall nodeCall = context.callRegistry().get(recordId);
+        return endpoint != null && nodeCall != null && endpoint.setUp(nodeCall, recordId, attemptIndex, deadlineMs)
                 ? null
                 : UNREACHABLE;
     }
 
     @Override
-    public double sendRelease(double now, String server, long call, int attempt, boolean timedOut) {
-        ServerEndpoint endpoint = endpoints.get(server);
-        NodeCall nodeCall = context.callRegistry().get(call);
+    public double sendRelease(double now, String serverId, long recordId, int attemptIndex, boolean timedOut) {
+        ServerEndpoint endpoint = endpoints.get(serverId);
+        NodeCall nodeCall = context.callRegistry().get(recordId);
         if (endpoint != null && nodeCall != null) {
-            endpoint.cancel(nodeCall.id, attempt);
+            endpoint.cancel(nodeCall.callId, attemptIndex);
         }
         return context.loop().now();
     }
 
     @Override
-    public void sendProbe(double now, String server) {
-        ServerEndpoint endpoint = endpoints.get(server);
+    public void sendProbe(double now, String serverId) {
+        ServerEndpoint endpoint = endpoints.get(serverId);
         if (endpoint != null) {
             endpoint.probe();
         } else {
@@ -176,7 +176,7 @@
                     .timers()
                     .schedule(
                             now,
-                            firedAt -> router.probeCompleted(firedAt, server, true, false, 0, ServerLoadReport.NONE));
+                            firedAt -> router.probeCompleted(firedAt, serverId, true, false, 0, ServerLoadReport.NONE));
         }
     }
 
--- a/src/test/java/damsonseam/node/ShutdownTest.java
+++ b/src/test/java/damsonseam/node/ShutdownTest.java
@@ -34,7 +34,7 @@
             long elapsedMs = (System.nanoTime() - startedAt) / 1_000_000;
             assertTrue(elapsedMs < KILLED_AFTER_MS, "stopped after " + elapsedMs + " ms");
             for (int i = 1; i < 8; i++) {
-                SipMessage response = caller.nextBuffered();
+                SipMessage response = caller.pollBuffered();
                 assertNotNull(response, "call without a final response");
                 assertTrue(response.status() >= 400, "status " + response.status());
             }
@@ -51,7 +51,7 @@
             Thread drainThread = fixture.startDrain();
             server.send(NodeFixture.okResponse(server.receive("INVITE")));
             assertTrue(caller.endsWithoutReset());
-            assertEquals(200, caller.nextBuffered().status());
+            assertEquals(200, caller.pollBuffered().status());
             // Data that arrives after the node has closed would cause a reset, which destroys unread responses.
             SipMessage ack = SipMessage.request(SipMessage.ACK, invite.requestUri(), invite.callId(), 1);
             long until = System.nanoTime() + 60_000_000;
--- a/src/test/java/damsonseam/node/SipSocket.java
+++ b/src/test/java/damsonseam/node/SipSocket.java
@@ -139,7 +139,7 @@
     }
 
     /** Returns the next message that has been read already, or null. */
-    SipMessage nextBuffered() {
+    SipMessage pollBuffered() {
         return decoder.readInbound();
     }
 
