--- a/src/main/java/damsonseam/front/QuestionQueue.java
+++ b/src/main/java/damsonseam/front/QuestionQueue.java
@@ -1,7 +1,7 @@
 package damsonseam.front;
 
 import damsonseam.core.NumberPlan;
-import damsonseam.dns.PlainQuestion;
+import damsonseam.dns.FastPathQuery;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -26,7 +26,7 @@
      */
     record QueuedQuestion(
             InetSocketAddress sender,
-            PlainQuestion plain,
+            FastPathQuery plain,
             NumberPlan.Entry entry,
             byte[] message,
             double readAtMs,
