--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -85,7 +85,7 @@
                 maxServerConnections,
                 config.seed(),
                 moduleSettings.mayProbe().orElse(false));
-        // Callers that send set-ups need a third of the descriptors; the rest is for peers that only connect.
+        // Callers that send set-ups use up to a third of the descriptors; the rest is for peers that only connect.
         callerListener = new CallerListener(
                 loop,
                 inviteParser,
