--- a/src/main/java/damsonseam/CongestionControlPolicy.java
+++ b/src/main/java/damsonseam/CongestionControlPolicy.java
@@ -49,7 +49,6 @@
     private static final double MAX_FIRST_ONSET_SHARE = 0.5;
     /** Weight of the newest sample in the wait estimate. */
     private static final double FAST_SMOOTHING_WEIGHT = 0.5;
-
     /** Least weight of the newest sample in the mean and variance of the wait in normal operation. */
     private static final double MIN_SLOW_SMOOTHING_WEIGHT = 0.05;
     /** Least rate at which the wait estimate decays without new samples, in milliseconds per millisecond. */
@@ -80,7 +79,6 @@
     private static final double SERVER_LIST_RETRY_MS = 1_000.0;
     /** Greatest throttle of a server: the factor by which this front's send interval exceeds the fair one. */
     private static final double MAX_THROTTLE = 8.0;
-
     /** Factor that a short wait applies to the throttle. */
     private static final double THROTTLE_DECAY = 0.6;
     /** Throttle below which a server is no longer throttled. */
@@ -104,7 +102,7 @@
     private final double warmUpTime;
     private final double waitBudget;
     private final int maxAttempts;
-    private final int fronts;
+    private final int frontCount;
     private final boolean mayCancel;
     private final boolean mayProbe;
     /** Distinct worths that a call can still earn, in ascending order. A call's rank is an index of this array. */
@@ -125,37 +123,43 @@
     /** Held calls that still have their full worth, ordered by the time at which it falls. */
     private final TreeSet<PendingCall> callsBeforeAim = new TreeSet<>(
             Comparator.comparingDouble((PendingCall c) -> c.aimDeadline).thenComparingLong(c -> c.id));
-
     /** Held calls that have only their late worth, in the same order. */
     private final TreeSet<PendingCall> callsPastAim = new TreeSet<>(callsBeforeAim.comparator());
-
+    /** All held calls with a rank, ordered by their deadline. */
     private final TreeSet<PendingCall> heldByDeadline = new TreeSet<>(
             Comparator.comparingDouble((PendingCall c) -> c.deadline).thenComparingLong(c -> c.id));
+    /** Held calls that wait for the release guard time, ordered by its end. */
     private final TreeSet<PendingCall> deferredByReleaseTime = new TreeSet<>(
             Comparator.comparingDouble((PendingCall c) -> c.notBefore).thenComparingLong(c -> c.id));
     /** Cache of usable servers by class and allowed servers; each server-list update clears it. */
-    private final Map<Object, List<Server>> usableServers = new HashMap<>();
+    private final Map<Object, List<Server>> usableServersCache = new HashMap<>();
     /** Whether the last choice skipped a server that accepts calls but would answer after the deadline. */
     private boolean skippedForDeadline;
     /** Dialled numbers whose lines are all busy, with the time until which this is assumed. */
     private final ExpiringNumbers busyNumbers = new ExpiringNumbers();
-
-    /** Numbers of calls that got no service; a new call for one is treated as a redial. */
+    /** Numbers of calls that got no service; until it expires, a new call to one counts as a redial. */
     private final ExpiringNumbers unservedNumbers = new ExpiringNumbers();
     /** Calls whose set-up was lost in the network or sent to a server that has restarted since. */
     private final Set<Long> lostSetUps = new TreeSet<>();
     /** Longest remaining time with which a call of each class was offered. */
     private final double[] maxTimeLeft;
 
+    /** Due time of the sweep timer, or infinity while none runs. */
     private double nextSweepAt = Double.POSITIVE_INFINITY;
+
     private double lastEventAt = Double.NEGATIVE_INFINITY;
+    /** Length of the pause before the present batch; 0 if there was none. */
     private double lastPause;
+    /** Time lost to all pauses so far. */
     private double totalPaused;
+    /** Number of established calls, decaying with {@link #RATE_WINDOW_MS}, and the time that it spans. */
     private double recentEstablished;
+
     private double recentEstablishedSpan;
     private double lastEstablishedAt = Double.NaN;
     private double completedCallTime;
     private int completedCalls;
+    /** Shortest set-up delay of all servers. */
     private double bestDelay = Double.POSITIVE_INFINITY;
     /** Least time from now to an answer at any running server, computed once per batch. */
     private double minTimeToAnswer;
@@ -250,7 +254,9 @@
         int index;
         ServerState state = ServerState.RUNNING;
         boolean down;
+        /** Whether set-ups go one at a time until an answer shows a wait below the first onset. */
         boolean reopening;
+
         int consecutiveFailures;
         double startedAt = Double.NEGATIVE_INFINITY;
         double minDelay = Double.POSITIVE_INFINITY;
@@ -259,7 +265,9 @@
         double meanWait;
         double waitVariance;
         int sampleCount;
+        /** End of the time for which the server asked not to be tried again. */
         double retryAfterUntil = Double.NEGATIVE_INFINITY;
+
         double freeLines = Double.POSITIVE_INFINITY;
         double lines = Double.POSITIVE_INFINITY;
         double linesReportedAt = Double.NEGATIVE_INFINITY;
@@ -268,14 +276,23 @@
         double lastSentAt = Double.NEGATIVE_INFINITY;
         double lastTestAt = Double.NEGATIVE_INFINITY;
         double nextPacedSendAt = Double.NEGATIVE_INFINITY;
+        /** Token bucket for set-ups while the server is cold or throttled; it may be negative. */
         double tokens;
+
         double tokensUpdatedAt;
+        /** Multiple of the fair interval between set-ups of this front; 0 if not throttled. */
         double throttle;
+        /** Peak of lines in use, decaying with {@link #RATE_WINDOW_MS}. */
         double peakLinesInUse;
+        /** Key of the weighted random draw; the lowest wins. */
         double selectionKey;
+
         double linesReportInterval;
+        /** This front's lot: the number of available lines that it must see before it sends. */
         double lineThreshold;
+        /** Whether an attempt was reset or found the server unreachable since its last answer. */
         boolean connectionFailed;
+        /** Ranks stopped since their onset and not yet released at their abatement. */
         final boolean[] stoppedRanks;
         /** Unanswered set-ups by call, oldest first, with the send time less the pauses until then. */
         final Map<Long, Double> unanswered = new LinkedHashMap<>();
@@ -297,7 +314,7 @@
                 Math.max(0.05, Math.min(1, settings.coldCapacityShare().orElse(0.25)));
         warmUpTime = Math.max(0, settings.warmUpTime().orElse(20_000));
         maxAttempts = Math.max(1, settings.maxAttempts().orElse(1));
-        fronts = Math.max(1, settings.fronts().orElse(1));
+        frontCount = Math.max(1, settings.fronts().orElse(1));
         mayCancel = settings.mayCancel().orElse(false);
         mayProbe = settings.mayProbe().orElse(false);
         double minAim = Double.POSITIVE_INFINITY;
@@ -327,7 +344,7 @@
     @Override
     public void onServerListUpdate(double now, boolean full, List<ServerEntry> entries) {
         detectPause(now);
-        usableServers.clear();
+        usableServersCache.clear();
         if (full) {
             TreeSet<String> listedIds = new TreeSet<>();
             entries.forEach(entry -> listedIds.add(entry.id()));
@@ -426,7 +443,7 @@
                 || call.inTransit;
         if (giveUp) {
             pendingCalls.remove(call.id);
-            markUnserved(call);
+            rememberUnserved(call);
             actions.failCall(call.id);
         } else {
             unrankedCalls.add(call);
@@ -439,7 +456,7 @@
         PendingCall call = pendingCalls.remove(callId);
         if (call != null) {
             stopHolding(call);
-            markUnserved(call);
+            rememberUnserved(call);
         }
     }
 
@@ -649,14 +666,14 @@
                     server.peakLinesInUse * Math.exp(Math.min(0, server.linesReportedAt - now) / RATE_WINDOW_MS);
             server.peakLinesInUse = Math.max(server.lines - server.freeLines, decayedPeak);
             server.linesReportInterval = Math.min(badNewsLifetime(), now - server.linesReportedAt);
-            server.lineThreshold = random.nextDouble() * fronts;
+            server.lineThreshold = random.nextDouble() * frontCount;
             server.linesReportedAt = now;
         }
         // Each queued set-up takes one fair interval of all fronts together, longer if the server is throttled.
         double perSetUp = Math.min(1, report.utilization().orElse(1))
                 * fairInterval(server)
                 * Math.max(1, server.throttle)
-                / fronts;
+                / frontCount;
         double wait = report.processorWait().orElse(report.queueLength().orElse(0) * perSetUp);
         boolean waitReported =
                 report.processorWait().isPresent() || report.queueLength().isPresent();
@@ -687,11 +704,12 @@
                 : server.freeLines == Double.POSITIVE_INFINITY) {
             return true;
         }
-        double reserved = (worths.length - 1 - rank) * RESERVED_LINES_DEVIATIONS * Math.sqrt(server.lines);
+        double reservedLines = (worths.length - 1 - rank) * RESERVED_LINES_DEVIATIONS * Math.sqrt(server.lines);
         double expectedReleases = completedCalls > 0
                 ? server.peakLinesInUse * server.linesReportInterval / (completedCallTime / completedCalls)
                 : 0;
-        return server.freeLines > reserved && server.freeLines - reserved + expectedReleases > server.lineThreshold;
+        return server.freeLines > reservedLines
+                && server.freeLines - reservedLines + expectedReleases > server.lineThreshold;
     }
 
     /** Records what the outcome of an attempt shows about its server. */
@@ -778,9 +796,10 @@
 
     /** Returns the onset level of a rank; that of rank + 1 is the discard level of the rank. */
     private double onset(Server server, int rank) {
-        double first = server.meanWait + ONSET_DEVIATIONS * Math.sqrt(server.waitVariance);
-        first = Math.max(MIN_FIRST_ONSET_SHARE * waitBudget, Math.min(MAX_FIRST_ONSET_SHARE * waitBudget, first));
-        return first + (waitBudget - first) * rank / worths.length;
+        double firstOnset = server.meanWait + ONSET_DEVIATIONS * Math.sqrt(server.waitVariance);
+        firstOnset =
+                Math.max(MIN_FIRST_ONSET_SHARE * waitBudget, Math.min(MAX_FIRST_ONSET_SHARE * waitBudget, firstOnset));
+        return firstOnset + (waitBudget - firstOnset) * rank / worths.length;
     }
 
     /** Returns the abatement level of a rank, half way between the wait of normal operation and the onset. */
@@ -814,10 +833,10 @@
     }
 
     /** Returns a call's rank: the index of the worth that it can still earn, which is its late worth past the aim. */
-    private int rank(PendingCall call, boolean isLate) {
+    private int rankOf(PendingCall call, boolean isPastAim) {
         CallClass callClass = settings.classes().get(call.callClass);
         double worth =
-                callClass.worth().orElse(1) * (isLate ? callClass.lateShare().orElse(0) : 1);
+                callClass.worth().orElse(1) * (isPastAim ? callClass.lateShare().orElse(0) : 1);
         return Math.max(0, Arrays.binarySearch(worths, worth));
     }
 
@@ -825,9 +844,9 @@
     private void updateRanks(double now) {
         for (PendingCall call : unrankedCalls) {
             heldByDeadline.add(call);
-            boolean isLate = now + minTimeToAnswer >= call.aimDeadline;
-            call.rank = rank(call, isLate);
-            (isLate ? callsPastAim : callsBeforeAim).add(call);
+            boolean isPastAim = now + minTimeToAnswer >= call.aimDeadline;
+            call.rank = rankOf(call, isPastAim);
+            (isPastAim ? callsPastAim : callsBeforeAim).add(call);
             addToGroup(call, now);
         }
         unrankedCalls.clear();
@@ -848,7 +867,7 @@
         from.remove(call);
         to.add(call);
         removeFromGroup(call);
-        call.rank = rank(call, to == callsPastAim);
+        call.rank = rankOf(call, to == callsPastAim);
         addToGroup(call, now);
     }
 
@@ -889,7 +908,7 @@
     private List<Server> usableServers(PendingCall call) {
         return call.inTransit
                 ? findUsableServers(call)
-                : usableServers.computeIfAbsent(
+                : usableServersCache.computeIfAbsent(
                         List.of(call.callClass, call.allowedServers), key -> findUsableServers(call));
     }
 
@@ -990,7 +1009,7 @@
                 * Math.max(recentEstablishedSpan, waitBudget)
                 / Math.max(1, recentEstablished);
         return lineOccupancy > 0 && completedCalls > 0
-                ? Math.min(byOwnRate, fronts * completedCallTime / completedCalls / ordinaryLoad(server))
+                ? Math.min(byOwnRate, frontCount * completedCallTime / completedCalls / ordinaryLoad(server))
                 : byOwnRate;
     }
 
@@ -1048,12 +1067,12 @@
     private void refuse(PendingCall call, double now) {
         stopHolding(call);
         pendingCalls.remove(call.id);
-        markUnserved(call);
+        rememberUnserved(call);
         actions.refuseCall(call.id, retryAfterAdvice());
     }
 
     /** Remembers a caller without service, who will redial, marked as a redial or not, and be late by then. */
-    private void markUnserved(PendingCall call) {
+    private void rememberUnserved(PendingCall call) {
         unservedNumbers.putIfAbsent(
                 call.number,
                 call.arrivedAt
--- a/src/main/java/damsonseam/node/InviteParser.java
+++ b/src/main/java/damsonseam/node/InviteParser.java
@@ -24,7 +24,7 @@
 
     InviteParser(PlatformSettings settings) {
         classNames = settings.classNames();
-        maxPatienceMs = settings.moduleSettings(0).classes().stream()
+        maxPatienceMs = settings.policySettings(0).classes().stream()
                 .mapToDouble(callClass -> callClass.deadline().orElse(MAX_TIMER_MS))
                 .max()
                 .orElse(MAX_TIMER_MS);
