--- a/src/test/java/damsonseam/sim/FrontEdgeCasesTest.java
+++ b/src/test/java/damsonseam/sim/FrontEdgeCasesTest.java
@@ -236,7 +236,7 @@
 
     /**
      * After a pause of two seconds, all events of the pause arrive at once. Callers who still wait must be answered in
-     * time, and an answer that comes after its caller's patience must not establish the call.
+     * time, a caller who has given up gets no set-up, and an answer after its caller's patience establishes no call.
      */
     @Test
     void callsAreAnsweredInTimeAfterPauseOfTwoSeconds() {
