--- a/src/main/java/damsonseam/cli/BadDayCommand.java
+++ b/src/main/java/damsonseam/cli/BadDayCommand.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
-import damsonseam.audit.CallStory;
+import damsonseam.audit.CallTrace;
 import damsonseam.config.TimeSpan;
 import damsonseam.config.Yaml;
 import damsonseam.day.ScenarioRun;
@@ -91,7 +91,8 @@
                 finding.put("day", nextScenario);
                 finding.put(
                         "story",
-                        CallStory.of(runFolder, result.audit().findings().get(0)));
+                        CallTrace.forFinding(
+                                runFolder, result.audit().findings().get(0)));
                 System.out.println(new ObjectMapper()
                         .enable(SerializationFeature.INDENT_OUTPUT)
                         .writeValueAsString(finding));
