--- a/src/main/java/damsonseam/dns/EdnsCallOption.java
+++ b/src/main/java/damsonseam/dns/EdnsCallOption.java
@@ -8,7 +8,8 @@
 /**
  * An EDNS option for local use (RFC 6891 section 9: codes 65001 to 65534). In a query it carries the caller's
  * remaining patience, in a response the advised wait before a redial. Its data are one octet of flags (bit 0: the
- * call is a redial) and four octets of time in milliseconds, 0 for not given. The option is optional on both sides.
+ * call is a redial) and four octets of time in milliseconds, 0 for not given. Callers that do not support
+ * the option lose nothing.
  *
  * @param redialled whether the call is a redial
  * @param timeMs time until the caller abandons this attempt, or the advised wait, in milliseconds; 0 for not given
--- a/src/main/java/damsonseam/dns/EnumResponses.java
+++ b/src/main/java/damsonseam/dns/EnumResponses.java
@@ -28,7 +28,7 @@
     public static final int EDE_REFUSED = 49200;
     /** EDE code of a failed call: no calculator could take it in time. */
     public static final int EDE_FAILED = 49201;
-    /** TTL of the NAPTR record: it must not be cached, as each response stands for one call. */
+    /** TTL of the NAPTR record: it must not be cached, as each response belongs to one call. */
     private static final int NAPTR_TTL_S = 0;
     /** How long resolvers may cache that a name or type does not exist. */
     private static final int NEGATIVE_TTL_S = 1;
--- a/src/main/java/damsonseam/dns/LookupCache.java
+++ b/src/main/java/damsonseam/dns/LookupCache.java
@@ -30,7 +30,7 @@
     private int capacity;
 
     private static final class Entry {
-        LookupResult candidates;
+        LookupResult result;
         double freshUntil = Double.NEGATIVE_INFINITY;
         double failedUntil = Double.NEGATIVE_INFINITY;
     }
@@ -38,11 +38,11 @@
     /**
      * The cached knowledge of a number.
      *
-     * @param candidates the result of the last successful lookup, or null if there is none that may still be used
+     * @param result the outcome of the last successful lookup, or null if there is none that may still be used
      * @param isFresh whether the result is fresh rather than stale
      * @param failedRecently whether a lookup has failed within the last second
      */
-    public record CachedResult(LookupResult candidates, boolean isFresh, boolean failedRecently) {}
+    public record CachedResult(LookupResult result, boolean isFresh, boolean failedRecently) {}
 
     /**
      * Creates an empty cache.
@@ -71,19 +71,19 @@
             return null;
         }
         boolean failed = now < entry.failedUntil;
-        boolean usable = entry.candidates != null && now < entry.freshUntil + staleForMs;
+        boolean usable = entry.result != null && now < entry.freshUntil + staleForMs;
         if (!usable && !failed) {
             entries.remove(number);
             return null;
         }
-        return new CachedResult(usable ? entry.candidates : null, usable && now < entry.freshUntil, failed);
+        return new CachedResult(usable ? entry.result : null, usable && now < entry.freshUntil, failed);
     }
 
     /** Stores that a number was found, or found not to exist. */
-    public void put(String number, LookupResult candidates, long ttlS, double now) {
-        double maxTtlMs = candidates.outcome() == LookupResult.Outcome.NOT_FOUND ? MAX_NEGATIVE_TTL_MS : MAX_TTL_MS;
+    public void put(String number, LookupResult result, long ttlS, double now) {
+        double maxTtlMs = result.outcome() == LookupResult.Outcome.NOT_FOUND ? MAX_NEGATIVE_TTL_MS : MAX_TTL_MS;
         Entry entry = entries.computeIfAbsent(number, n -> new Entry());
-        entry.candidates = candidates;
+        entry.result = result;
         entry.freshUntil = now + Math.min(maxTtlMs, Math.max(0, ttlS) * MS_PER_S);
         entry.failedUntil = Double.NEGATIVE_INFINITY;
     }
--- a/src/main/java/damsonseam/dns/Resolver.java
+++ b/src/main/java/damsonseam/dns/Resolver.java
@@ -47,7 +47,7 @@
         void sendTcp(int authority, byte[] query);
 
         /** Reports the result of a lookup to the call that requested it. */
-        void onLookupComplete(double now, long call, LookupResult candidates);
+        void onLookupComplete(double now, long call, LookupResult result);
     }
 
     /** Socket index of responses that arrive over TCP. */
@@ -152,10 +152,10 @@
         LookupCache.CachedResult cached = cache.find(number, now);
         if (cached != null && cached.isFresh()) {
             counts.cacheHits++;
-            reportLater(call, cached.candidates());
+            reportLater(call, cached.result());
             return;
         }
-        LookupResult stale = cached == null ? null : cached.candidates();
+        LookupResult stale = cached == null ? null : cached.result();
         if (cached != null && cached.failedRecently()) {
             counts.staleResults += stale == null ? 0 : 1;
             counts.failedLookups += stale == null ? 1 : 0;
@@ -193,15 +193,15 @@
     }
 
     /** Queues a known result: it must not be reported within the call of {@code lookUp}, but in the same iteration. */
-    private void reportLater(long call, LookupResult candidates) {
-        knownResults.add(() -> output.onLookupComplete(now, call, candidates));
+    private void reportLater(long call, LookupResult result) {
+        knownResults.add(() -> output.onLookupComplete(now, call, result));
     }
 
     /** Reports the results known without a query; called once per event-loop iteration, before the core acts. */
     public void deliverKnownResults(double at) {
         advanceClock(at);
-        for (Runnable result = knownResults.poll(); result != null; result = knownResults.poll()) {
-            result.run();
+        for (Runnable report = knownResults.poll(); report != null; report = knownResults.poll()) {
+            report.run();
         }
     }
 
@@ -350,10 +350,10 @@
         return 0;
     }
 
-    private void succeed(Lookup lookup, LookupResult candidates, long ttlS) {
-        cache.put(lookup.number, candidates, ttlS, now);
+    private void succeed(Lookup lookup, LookupResult result, long ttlS) {
+        cache.put(lookup.number, result, ttlS, now);
         remove(lookup);
-        lookup.waitingCalls.forEach(w -> output.onLookupComplete(now, w.call(), candidates));
+        lookup.waitingCalls.forEach(w -> output.onLookupComplete(now, w.call(), result));
     }
 
     private void fail(Lookup lookup) {
--- a/src/main/java/damsonseam/ss7/IsupMessage.java
+++ b/src/main/java/damsonseam/ss7/IsupMessage.java
@@ -13,7 +13,9 @@
  * @param parameters the mandatory parameters in the order of the table, then the optional ones
  */
 public record IsupMessage(int circuit, Type type, List<Parameter> parameters) {
-    /** Parameter codes (Q.763 table 5); this one: end of optional parameters. */
+    // Parameter codes (Q.763 table 5).
+
+    /** Ends the optional part. */
     public static final int END_OF_OPTIONAL_PARAMETERS = 0x00;
     /** Call reference: three octets of call identity, two of a point code. */
     public static final int CALL_REFERENCE = 0x01;
@@ -40,7 +42,9 @@
     /** A calculator's load report (national use), see {@link LoadReportParameter}. */
     public static final int LOAD_REPORT = 0xfa;
 
-    /** Cause values (ITU-T Q.850); this one: normal call clearing. */
+    // Cause values (ITU-T Q.850).
+
+    /** Normal call clearing. */
     public static final int NORMAL_CLEARING = 16;
     /** User busy: all lines of the number are in use. */
     public static final int USER_BUSY = 17;
--- a/src/main/java/damsonseam/ss7/M3uaMessage.java
+++ b/src/main/java/damsonseam/ss7/M3uaMessage.java
@@ -21,9 +21,11 @@
     private static final int MAX_PARAMETERS = 64;
     private static final int VERSION = 1;
 
-    /** Parameter tags (RFC 4666 section 3.2); this one: text for humans. */
+    // Parameter tags (RFC 4666 section 3.2).
+
+    /** Info string: free text. */
     public static final int INFO_STRING = 0x0004;
-    /** The application server for which the traffic is. */
+    /** Routing context: identifies the application server. */
     public static final int ROUTING_CONTEXT = 0x0006;
     /** The first octets of the message that caused an error. */
     public static final int DIAGNOSTIC = 0x0007;
@@ -44,7 +46,9 @@
     /** Routing label and user message of a DATA, see {@link ProtocolData}. */
     public static final int PROTOCOL_DATA = 0x0210;
 
-    /** Error codes (RFC 4666 section 3.8.1); this one: unsupported protocol version. */
+    // Error codes (RFC 4666 section 3.8.1).
+
+    /** Unsupported protocol version. */
     public static final int INVALID_VERSION = 0x01;
     /** Unknown message class. */
     public static final int UNSUPPORTED_MESSAGE_CLASS = 0x03;
--- a/src/main/java/damsonseam/ss7/TrunkGroup.java
+++ b/src/main/java/damsonseam/ss7/TrunkGroup.java
@@ -170,7 +170,7 @@
 
     // ---- Signalling connection --------------------------------------------------------------------------
 
-    /** Handles that traffic may flow: circuits in use on the previous connection are reset, a few at a time. */
+    /** Resumes traffic on a new connection; circuits in use on the previous one are reset, a few at a time. */
     public void onConnectionUp(double now) {
         connected = true;
         sendPendingResets(now);
@@ -192,7 +192,7 @@
         }
     }
 
-    /** Handles the loss of the connection: ends every attempt and every established call, reporting each once. */
+    /** Ends every attempt and every established call after the connection is lost, reporting each once. */
     public void onConnectionLost(double now) {
         connected = false;
         outstandingResets = 0;
--- a/src/test/java/damsonseam/dns/EnumServiceTest.java
+++ b/src/test/java/damsonseam/dns/EnumServiceTest.java
@@ -29,7 +29,7 @@
     private static final String NUMBER = "59821000000001";
     private final SimulatedFront front = new SimulatedFront().start("s0");
 
-    private Message ask(Message query) {
+    private Message exchange(Message query) {
         front.sendBytes("desk", query.toWire());
         front.run(100);
         return front.replies.get(front.replies.size() - 1).message();
@@ -48,11 +48,11 @@
     @Test
     void responseNamesCalculatorAndCallAndIsNotCacheable() throws Exception {
         Name mixedCase = Name.fromString("1.0.0.0.0.0.0.0.0.1.2.8.9.5.E164.eXample.ORG.");
-        Message answer = ask(query(mixedCase, Type.NAPTR, DClass.IN));
-        assertEquals(77, answer.getHeader().getID());
-        assertTrue(answer.getHeader().getFlag(Flags.AA));
-        assertEquals(mixedCase.toString(), answer.getQuestion().getName().toString(), "case of the query name");
-        NAPTRRecord rule = (NAPTRRecord) answer.getSection(Section.ANSWER).get(0);
+        Message response = exchange(query(mixedCase, Type.NAPTR, DClass.IN));
+        assertEquals(77, response.getHeader().getID());
+        assertTrue(response.getHeader().getFlag(Flags.AA));
+        assertEquals(mixedCase.toString(), response.getQuestion().getName().toString(), "case of the query name");
+        NAPTRRecord rule = (NAPTRRecord) response.getSection(Section.ANSWER).get(0);
         assertEquals(0, rule.getTTL());
         assertEquals(List.of("s0"), NaptrRules.serverHosts(NUMBER, List.of(rule)));
         assertTrue(rule.getRegexp().matches("!\\^\\.\\*\\$!sip:[0-9a-f]+@s0!"), rule.getRegexp());
@@ -62,21 +62,21 @@
     void unsupportedQueriesGetTheRcodeOfTheirFault() throws Exception {
         assertEquals(
                 Rcode.REFUSED,
-                ask(query(Name.fromString("1.2.example.net."), Type.NAPTR, DClass.IN))
+                exchange(query(Name.fromString("1.2.example.net."), Type.NAPTR, DClass.IN))
                         .getRcode());
         assertEquals(
-                Rcode.REFUSED, ask(query(name(NUMBER), Type.NAPTR, DClass.CH)).getRcode());
-        Message otherType = ask(query(name(NUMBER), Type.A, DClass.IN));
+                Rcode.REFUSED, exchange(query(name(NUMBER), Type.NAPTR, DClass.CH)).getRcode());
+        Message otherType = exchange(query(name(NUMBER), Type.A, DClass.IN));
         assertEquals(Rcode.NOERROR, otherType.getRcode());
         assertEquals(1, otherType.getSection(Section.AUTHORITY).size());
         assertEquals(
-                Rcode.NXDOMAIN, ask(query(name("44123"), Type.NAPTR, DClass.IN)).getRcode());
+                Rcode.NXDOMAIN, exchange(query(name("44123"), Type.NAPTR, DClass.IN)).getRcode());
         Message notify = query(name(NUMBER), Type.NAPTR, DClass.IN);
         notify.getHeader().setOpcode(Opcode.NOTIFY);
-        assertEquals(Rcode.NOTIMP, ask(notify).getRcode());
+        assertEquals(Rcode.NOTIMP, exchange(notify).getRcode());
         Message twoQuestions = query(name(NUMBER), Type.NAPTR, DClass.IN);
         twoQuestions.addRecord(Record.newRecord(name("598"), Type.NAPTR, DClass.IN), Section.QUESTION);
-        assertEquals(Rcode.FORMERR, ask(twoQuestions).getRcode());
+        assertEquals(Rcode.FORMERR, exchange(twoQuestions).getRcode());
         assertTrue(front.setUps(null).isEmpty());
     }
 
@@ -85,7 +85,7 @@
         Message query = query(Name.fromString("1.2.example.net."), Type.NAPTR, DClass.IN);
         query.addRecord(new OPTRecord(1232, 0, 0), Section.ADDITIONAL);
         ExtendedErrorCodeOption error =
-                (ExtendedErrorCodeOption) ask(query).getOPT().getOptions(15).get(0);
+                (ExtendedErrorCodeOption) exchange(query).getOPT().getOptions(15).get(0);
         assertEquals(ExtendedErrorCodeOption.NOT_AUTHORITATIVE, error.getErrorCode());
     }
 
@@ -93,7 +93,7 @@
     void unknownEdnsVersionGetsBadvers() {
         Message query = query(name(NUMBER), Type.NAPTR, DClass.IN);
         query.addRecord(new OPTRecord(1232, 0, 3), Section.ADDITIONAL);
-        assertEquals(Rcode.BADVERS, ask(query).getRcode());
+        assertEquals(Rcode.BADVERS, exchange(query).getRcode());
     }
 
     @Test
@@ -101,9 +101,9 @@
         byte[] whole = query(name(NUMBER), Type.NAPTR, DClass.IN).toWire();
         byte[] incomplete = java.util.Arrays.copyOf(whole, whole.length - 9);
         front.sendBytes("desk", incomplete);
-        Message answer = front.replies.get(0).message();
-        assertEquals(Rcode.FORMERR, answer.getRcode());
-        assertEquals(77, answer.getHeader().getID());
+        Message response = front.replies.get(0).message();
+        assertEquals(Rcode.FORMERR, response.getRcode());
+        assertEquals(77, response.getHeader().getID());
         whole[2] |= (byte) 0x80;
         front.sendBytes("desk", whole);
         front.sendBytes("desk", new byte[] {1, 2, 3});
@@ -125,12 +125,12 @@
 
     @Test
     void refusalCarriesTheAdvisedWait() {
-        SimulatedFront full = new SimulatedFront();
-        full.maxCalls = 1;
-        full.start("s0");
-        full.sendQuery("a", 1, NUMBER);
-        full.sendQuery("b", 2, "59821000000002");
-        Message refused = full.replies.get(0).message();
+        SimulatedFront saturated = new SimulatedFront();
+        saturated.maxCalls = 1;
+        saturated.start("s0");
+        saturated.sendQuery("a", 1, NUMBER);
+        saturated.sendQuery("b", 2, "59821000000002");
+        Message refused = saturated.replies.get(0).message();
         assertEquals(Rcode.REFUSED, refused.getRcode());
         assertEquals(2_000, EdnsCallOption.from(refused.getOPT()).timeMs());
         ExtendedErrorCodeOption error =
@@ -163,13 +163,13 @@
     @Test
     void retransmittedQueryGetsTheSameResponse() {
         Message query = query(name(NUMBER), Type.NAPTR, DClass.IN);
-        ask(query);
-        ask(query);
+        exchange(query);
+        exchange(query);
         assertEquals(2, front.replies.size());
         assertArrayEquals(front.replies.get(0).bytes(), front.replies.get(1).bytes());
         assertEquals(1, front.setUps(null).size());
         front.run(4_000);
-        ask(query);
+        exchange(query);
         assertEquals(2, front.setUps(null).size(), "after the retention time the same query is a new call");
     }
 }
--- a/src/test/java/damsonseam/dns/ResolverTest.java
+++ b/src/test/java/damsonseam/dns/ResolverTest.java
@@ -45,8 +45,8 @@
                 }
 
                 @Override
-                public void onLookupComplete(double now, long call, LookupResult candidates) {
-                    results.add(call + " " + candidates.outcome() + " " + candidates.servers());
+                public void onLookupComplete(double now, long call, LookupResult result) {
+                    results.add(call + " " + result.outcome() + " " + result.servers());
                 }
             });
     private double now;
