--- a/src/test/java/damsonseam/dns/EnumServiceTest.java
+++ b/src/test/java/damsonseam/dns/EnumServiceTest.java
@@ -65,12 +65,14 @@
                 exchange(query(Name.fromString("1.2.example.net."), Type.NAPTR, DClass.IN))
                         .getRcode());
         assertEquals(
-                Rcode.REFUSED, exchange(query(name(NUMBER), Type.NAPTR, DClass.CH)).getRcode());
+                Rcode.REFUSED,
+                exchange(query(name(NUMBER), Type.NAPTR, DClass.CH)).getRcode());
         Message otherType = exchange(query(name(NUMBER), Type.A, DClass.IN));
         assertEquals(Rcode.NOERROR, otherType.getRcode());
         assertEquals(1, otherType.getSection(Section.AUTHORITY).size());
         assertEquals(
-                Rcode.NXDOMAIN, exchange(query(name("44123"), Type.NAPTR, DClass.IN)).getRcode());
+                Rcode.NXDOMAIN,
+                exchange(query(name("44123"), Type.NAPTR, DClass.IN)).getRcode());
         Message notify = query(name(NUMBER), Type.NAPTR, DClass.IN);
         notify.getHeader().setOpcode(Opcode.NOTIFY);
         assertEquals(Rcode.NOTIMP, exchange(notify).getRcode());
@@ -84,8 +86,8 @@
     void refusalOutsideTheSuffixDiffersFromARefusedCall() throws Exception {
         Message query = query(Name.fromString("1.2.example.net."), Type.NAPTR, DClass.IN);
         query.addRecord(new OPTRecord(1232, 0, 0), Section.ADDITIONAL);
-        ExtendedErrorCodeOption error =
-                (ExtendedErrorCodeOption) exchange(query).getOPT().getOptions(15).get(0);
+        ExtendedErrorCodeOption error = (ExtendedErrorCodeOption)
+                exchange(query).getOPT().getOptions(15).get(0);
         assertEquals(ExtendedErrorCodeOption.NOT_AUTHORITATIVE, error.getErrorCode());
     }
 
