--- a/src/main/java/damsonseam/CongestionControlPolicy.java
+++ b/src/main/java/damsonseam/CongestionControlPolicy.java
@@ -372,26 +372,26 @@
     }
 
     @Override
-    public void onCallOffered(double now, Call offer) {
+    public void onCallOffered(double now, Call call) {
         detectPause(now);
-        CallClass callClass = settings.classes().get(offer.callClass());
+        CallClass callClass = settings.classes().get(call.callClass());
         // Guards against many calls to one number: while all its lines are busy, a set-up for it is wasted.
-        if (busyNumbers.isActive(offer.number(), now)) {
-            actions.refuseCall(offer.id(), retryAfterAdvice());
+        if (busyNumbers.isActive(call.number(), now)) {
+            actions.refuseCall(call.id(), retryAfterAdvice());
             return;
         }
         // A paused front is offered its calls late: their remaining time is shorter than usual by the delay.
-        maxTimeLeft[offer.callClass()] = Math.max(maxTimeLeft[offer.callClass()], offer.timeLeft());
-        double lateness = Math.min(lastPause, maxTimeLeft[offer.callClass()] - offer.timeLeft());
-        PendingCall call = new PendingCall(
-                offer,
+        maxTimeLeft[call.callClass()] = Math.max(maxTimeLeft[call.callClass()], call.timeLeft());
+        double lateness = Math.min(lastPause, maxTimeLeft[call.callClass()] - call.timeLeft());
+        PendingCall pendingCall = new PendingCall(
+                call,
                 now,
-                now + offer.timeLeft() - deadlineMargin,
-                offer.redialled() || unservedNumbers.isActive(offer.number(), now)
+                now + call.timeLeft() - deadlineMargin,
+                call.redialled() || unservedNumbers.isActive(call.number(), now)
                         ? now
                         : now + aim(callClass) - lateness);
-        pendingCalls.put(call.id, call);
-        unrankedCalls.add(call);
+        pendingCalls.put(pendingCall.id, pendingCall);
+        unrankedCalls.add(pendingCall);
     }
 
     @Override
@@ -424,7 +424,7 @@
             return;
         }
         if (outcome.reason() == RejectReason.NUMBER_BUSY) {
-            busyNumbers.merge(call.number, now + badNewsLifetime(), Math::max);
+            busyNumbers.merge(call.number, now + negativeObservationLifetime(), Math::max);
         }
         call.currentServer = null;
         call.cancelRequested = false;
@@ -462,16 +462,16 @@
 
     @Override
     public void onProbeResult(
-            double now, String serverId, boolean asked, boolean answered, double delay, ServerLoadReport report) {
+            double now, String serverId, boolean requested, boolean answered, double delay, ServerLoadReport report) {
         detectPause(now);
         Server server = servers.get(serverId);
         if (server == null) {
             return;
         }
         applyReport(server, report, now);
-        if (asked && answered) {
+        if (requested && answered) {
             markAlive(server, now);
-        } else if (asked) {
+        } else if (requested) {
             server.consecutiveFailures++;
         }
     }
@@ -665,7 +665,7 @@
             double decayedPeak =
                     server.peakLinesInUse * Math.exp(Math.min(0, server.linesReportedAt - now) / RATE_WINDOW_MS);
             server.peakLinesInUse = Math.max(server.lines - server.freeLines, decayedPeak);
-            server.linesReportInterval = Math.min(badNewsLifetime(), now - server.linesReportedAt);
+            server.linesReportInterval = Math.min(negativeObservationLifetime(), now - server.linesReportedAt);
             server.lineThreshold = random.nextDouble() * frontCount;
             server.linesReportedAt = now;
         }
@@ -700,7 +700,7 @@
      */
     private boolean hasFreeLine(Server server, int rank, double now) {
         if (server.freeLines <= 0
-                ? now >= server.linesReportedAt + badNewsLifetime()
+                ? now >= server.linesReportedAt + negativeObservationLifetime()
                 : server.freeLines == Double.POSITIVE_INFINITY) {
             return true;
         }
@@ -990,11 +990,11 @@
     }
 
     private double testInterval(Server server) {
-        return Math.max(badNewsLifetime(), fairInterval(server));
+        return Math.max(negativeObservationLifetime(), fairInterval(server));
     }
 
     /** Returns the time for which a single negative observation is trusted. */
-    private double badNewsLifetime() {
+    private double negativeObservationLifetime() {
         return Math.max(releaseGuard, 2 * waitBudget);
     }
 
--- a/src/main/java/damsonseam/RoutingPolicy.java
+++ b/src/main/java/damsonseam/RoutingPolicy.java
@@ -43,14 +43,14 @@
     void onCallAbandoned(double now, long callId);
 
     /**
-     * Reports the result of a probe, or a load report that came without one.
+     * Reports the result of a probe, or a load report that arrived unsolicited.
      *
-     * @param asked whether this front had sent a probe
+     * @param requested whether this front had sent a probe; false for an unsolicited report
      * @param answered whether the server answered the probe
      * @param delay time from the probe to its result, in milliseconds
      */
     void onProbeResult(
-            double now, String serverId, boolean asked, boolean answered, double delay, ServerLoadReport report);
+            double now, String serverId, boolean requested, boolean answered, double delay, ServerLoadReport report);
 
     /** Reports a message from another front. */
     void onMessage(double now, int from, byte[] body);
--- a/src/main/java/damsonseam/bench/FrontProcess.java
+++ b/src/main/java/damsonseam/bench/FrontProcess.java
@@ -110,7 +110,9 @@
         AdmissionVariant baseline = AdmissionVariant.valueOf(args[1].toUpperCase(Locale.ROOT));
         FrontServer.Components own = FrontServer.Components.defaults(settings);
         try (FrontServer front = FrontServer.start(
-                settings, new FrontServer.Components(own.module(), () -> baseline.newController(settings)), false)) {
+                settings,
+                new FrontServer.Components(own.policyFactory(), () -> baseline.newController(settings)),
+                false)) {
             if (!front.awaitReady(READY_MS)) {
                 throw new IOException("the front was not ready");
             }
--- a/src/main/java/damsonseam/bench/MemoryBench.java
+++ b/src/main/java/damsonseam/bench/MemoryBench.java
@@ -55,8 +55,8 @@
         List<Long> lookups = new ArrayList<>();
         // The simplest module that sends: what is measured is the path, and the real one holds no standing calls.
         Router router = new Router(
-                new RouterSettings(settings.moduleSettings(1), 2 * count, 5, 100, 20),
-                a -> new CongestionControlPolicy(settings.moduleSettings(1), a),
+                new RouterSettings(settings.policySettings(1), 2 * count, 5, 100, 20),
+                a -> new CongestionControlPolicy(settings.policySettings(1), a),
                 new CallTable(2 * count, 1),
                 timers,
                 (call, number, deadline) -> lookups.add(call),
--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -14,7 +14,7 @@
 
 /**
  * All settings of a front, read from YAML; the component names are the keys. The settings describe the surroundings and
- * the callers' requirements. How calls are decided is up to the decision module, which has no settings of its own.
+ * the callers' requirements. How calls are decided is up to the routing policy, which has no settings of its own.
  *
  * @param front the identity of this front
  * @param enumSettings the ENUM interface towards callers, key {@code enum}
@@ -362,7 +362,7 @@
         return new WorthRanks(classes.stream().map(CallClassSettings::worth).toList());
     }
 
-    /** Interval of the event loop's ticks: a quarter of the decision module's sweep interval. */
+    /** Interval of the event loop's ticks: a quarter of the routing policy's sweep interval. */
     public static final double TICK_MS = 5;
     /**
      * Answers later than this after the end of a caller's patience do not count. Also how long before that end the core
@@ -370,8 +370,8 @@
      */
     public static final double ANSWER_SLACK_MS = 20;
 
-    /** Returns the settings of the decision module. */
-    public PolicySettings moduleSettings(long seed) {
+    /** Returns the settings of the routing policy. */
+    public PolicySettings policySettings(long seed) {
         List<CallClass> callClasses = new ArrayList<>();
         classes.forEach(c -> callClasses.add(c.toCallClass()));
         return new PolicySettings(
--- a/src/main/java/damsonseam/core/Router.java
+++ b/src/main/java/damsonseam/core/Router.java
@@ -273,9 +273,9 @@
     }
 
     /** Handles the result of a call's number lookup; ignored if the call has closed. */
-    public void lookupCompleted(double at, long id, LookupResult result) {
+    public void lookupCompleted(double at, long callId, LookupResult result) {
         advanceClock(at);
-        CallRecord call = calls.get(id);
+        CallRecord call = calls.get(callId);
         if (call == null || call.phase() != Phase.LOOKING_UP) {
             return;
         }
@@ -322,9 +322,9 @@
     // ---- Attempts ---------------------------------------------------------------------------------------
 
     /** Handles a positive answer to an attempt: the call is established. Answers of ended attempts are ignored. */
-    public void callEstablished(double at, long id, int attempt, ServerLoadReport report) {
+    public void callEstablished(double at, long callId, int attempt, ServerLoadReport report) {
         advanceClock(at);
-        CallRecord call = calls.get(id);
+        CallRecord call = calls.get(callId);
         if (call == null
                 || !call.hasPendingAttempt()
                 || call.releaseStatus() != null
@@ -346,7 +346,7 @@
         if (!report.equals(ServerLoadReport.NONE)) {
             policy.onProbeResult(now, call.server(), false, true, 0, report);
         }
-        policy.onCallEstablished(now, id, call.server(), attempt, now - call.sentAt());
+        policy.onCallEstablished(now, callId, call.server(), attempt, now - call.sentAt());
         markBatchOpen();
         deliverAnswer(call, call.takeCaller(), FinalAnswer.established(call.server()));
     }
@@ -354,14 +354,14 @@
     /** Handles the end of an attempt or of the call it established, by the server or by loss of its connection. */
     public void attemptEnded(
             double at,
-            long id,
+            long callId,
             int attempt,
             AttemptStatus status,
             RejectReason reason,
             OptionalDouble retryAfter,
             ServerLoadReport report) {
         advanceClock(at);
-        CallRecord call = calls.get(id);
+        CallRecord call = calls.get(callId);
         if (call == null
                 || !call.isCurrentAttempt(attempt)
                 || !call.hasPendingAttempt() && call.phase() != Phase.ESTABLISHED) {
@@ -411,9 +411,9 @@
     }
 
     /** Handles the confirmation or the timeout of a release; ignored unless the attempt is being released. */
-    public void releaseConfirmed(double at, long id, int attempt) {
+    public void releaseConfirmed(double at, long callId, int attempt) {
         advanceClock(at);
-        CallRecord call = calls.get(id);
+        CallRecord call = calls.get(callId);
         if (call != null
                 && call.hasPendingAttempt()
                 && call.releaseStatus() != null
@@ -460,33 +460,33 @@
     /**
      * Handles the result of a probe, or a load report that arrived unsolicited.
      *
-     * @param solicited whether a probe was sent; false for an unsolicited report
+     * @param requested whether this front had sent a probe; false for an unsolicited report
      * @param delay time from the probe to its answer, in milliseconds
      */
     public void probeCompleted(
-            double at, String server, boolean solicited, boolean answered, double delay, ServerLoadReport report) {
+            double at, String serverId, boolean requested, boolean answered, double delay, ServerLoadReport report) {
         advanceClock(at);
-        policy.onProbeResult(now, server, solicited, answered, delay, report);
+        policy.onProbeResult(now, serverId, requested, answered, delay, report);
         markBatchOpen();
     }
 
     // ---- Actions requested by the routing policy --------------------------------------------------------
 
     @Override
-    public void sendSetUp(long id, String server, double abandonAt) {
-        CallRecord call = calls.get(id);
+    public void sendSetUp(long callId, String serverId, double abandonAt) {
+        CallRecord call = calls.get(callId);
         if (call == null || call.phase() != Phase.TRYING) {
             return;
         }
-        int attempt = call.startAttempt(server, now);
+        int attempt = call.startAttempt(serverId, now);
         double latestEnd = call.deadline() - settings.answerMarginMs();
         double giveUpAt = abandonAt > 0 ? Math.min(abandonAt, latestEnd) : latestEnd;
-        SendFailure failure = signalling.sendSetUp(now, server, id, attempt, giveUpAt, call);
+        SendFailure failure = signalling.sendSetUp(now, serverId, callId, attempt, giveUpAt, call);
         if (failure != null) {
             counters.notSent++;
             deferredEvents.add(() -> attemptEnded(
                     now,
-                    id,
+                    callId,
                     attempt,
                     failure.status(),
                     failure.reason(),
@@ -495,7 +495,7 @@
             return;
         }
         counters.setUps++;
-        tracer.traceStep(now, call, "set-up", server);
+        tracer.traceStep(now, call, "set-up", serverId);
         call.replaceAttemptTimer(timers.schedule(giveUpAt, at -> {
             advanceClock(at);
             if (call.hasPendingAttempt() && call.releaseStatus() == null && call.isCurrentAttempt(attempt)) {
@@ -506,17 +506,17 @@
     }
 
     @Override
-    public void refuseCall(long id, double retryAfterMs) {
-        CallRecord call = calls.get(id);
+    public void refuseCall(long callId, double retryAfter) {
+        CallRecord call = calls.get(callId);
         if (call != null && call.phase() == Phase.TRYING) {
             releaseAttempt(call, false);
-            finishCall(call, FinalAnswer.refused(retryAfterMs, "refused"));
+            finishCall(call, FinalAnswer.refused(retryAfter, "refused"));
         }
     }
 
     @Override
-    public void failCall(long id) {
-        CallRecord call = calls.get(id);
+    public void failCall(long callId) {
+        CallRecord call = calls.get(callId);
         if (call != null && call.phase() == Phase.TRYING) {
             releaseAttempt(call, false);
             finishCall(call, FinalAnswer.failed("failed"));
@@ -524,8 +524,8 @@
     }
 
     @Override
-    public void cancelAttempt(long id, int attempt) {
-        CallRecord call = calls.get(id);
+    public void cancelAttempt(long callId, int attempt) {
+        CallRecord call = calls.get(callId);
         if (call != null
                 && call.hasPendingAttempt()
                 && call.releaseStatus() == null
@@ -550,8 +550,8 @@
     }
 
     @Override
-    public void sendProbe(String server) {
-        signalling.sendProbe(now, server);
+    public void sendProbe(String serverId) {
+        signalling.sendProbe(now, serverId);
     }
 
     @Override
--- a/src/main/java/damsonseam/day/ScenarioRun.java
+++ b/src/main/java/damsonseam/day/ScenarioRun.java
@@ -115,7 +115,7 @@
                 settings,
                 new FrontServer.Components(
                         actions -> randomPolicy.apply(
-                                settings.moduleSettings(settings.front().seed()), actions),
+                                settings.policySettings(settings.front().seed()), actions),
                         () -> admitAll),
                 logCalls);
     }
--- a/src/main/java/damsonseam/front/DirectoryClient.java
+++ b/src/main/java/damsonseam/front/DirectoryClient.java
@@ -23,7 +23,7 @@
 
 /**
  * Client of the pool directory's update stream. Updates are handed to the front's event loop in order. When the stream
- * breaks, the decision module is notified and requests a new one; the server list stays unchanged until the next
+ * breaks, the routing policy is notified and requests a new one; the server list stays unchanged until the next
  * update. Confined to the event loop, except for the gRPC callbacks, which submit tasks to it.
  */
 final class DirectoryClient implements RouterPorts.Directory {
--- a/src/main/java/damsonseam/front/FrontReport.java
+++ b/src/main/java/damsonseam/front/FrontReport.java
@@ -8,7 +8,7 @@
  *
  * @param taken calls that reached the core
  * @param stood calls answered as established
- * @param refused calls answered as refused by the core or the decision module
+ * @param refused calls answered as refused by the core or the routing policy
  * @param failed calls answered as failed
  * @param setUps set-ups sent
  * @param read queries read from the datagram socket
@@ -28,7 +28,7 @@
  * @param heap share of the maximum heap in use after the last collection
  * @param cacheRoom share of its capacity that the look-up cache may fill
  * @param seconds number of seconds diagnosed with each cause
- * @param longestMomentMs longest time the decision module took for a batch of simultaneous events, in milliseconds
+ * @param longestMomentMs longest time the routing policy took for a batch of simultaneous events, in milliseconds
  * @param open calls open now
  * @param unanswered open calls without a final answer
  * @param heldRoom number of unanswered calls from which calls of the lowest worth are refused
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -39,7 +39,7 @@
 import org.xbill.DNS.Name;
 
 /**
- * A running front: sockets, core and decision module on one event loop. Public methods may be called from any thread
+ * A running front: sockets, core and routing policy on one event loop. Public methods may be called from any thread
  * but that event loop's.
  */
 public final class FrontServer implements AutoCloseable {
@@ -62,18 +62,19 @@
     /**
      * The replaceable components of a front; measurements replace them to run baselines.
      *
-     * @param module factory of the decision module
+     * @param policyFactory creates the routing policy, given the actions it may request
      * @param admission supplier of admission controllers, called once for UDP and once for TCP
      */
     public record Components(
-            Function<RoutingPolicy.PolicyActions, RoutingPolicy> module, Supplier<AdmissionController> admission) {
+            Function<RoutingPolicy.PolicyActions, RoutingPolicy> policyFactory,
+            Supplier<AdmissionController> admission) {
         /** Returns the components of a regular front. */
         public static Components defaults(FrontSettings settings) {
             long seed = settings.front().seed() == null
                     ? new SecureRandom().nextLong()
                     : settings.front().seed();
             return new Components(
-                    actions -> new CongestionControlPolicy(settings.moduleSettings(seed), actions),
+                    actions -> new CongestionControlPolicy(settings.policySettings(seed), actions),
                     () -> new LevelAdmissionController(
                             settings.overloadSettings(), settings.ranks().count(), seed));
         }
@@ -114,12 +115,12 @@
                 resolverSockets);
         router = new Router(
                 new RouterSettings(
-                        settings.moduleSettings(0),
+                        settings.policySettings(0),
                         limits.calls(),
                         FrontSettings.TICK_MS,
                         settings.trunks().releaseWait().ms(),
                         FrontSettings.ANSWER_SLACK_MS),
-                components.module(),
+                components.policyFactory(),
                 new CallTable(limits.calls(), System.currentTimeMillis() / 1000),
                 loop.timers(),
                 (call, number, deadline) -> {
--- a/src/main/java/damsonseam/front/SelfMonitor.java
+++ b/src/main/java/damsonseam/front/SelfMonitor.java
@@ -140,10 +140,10 @@
         nextDiagnosisAt = now + DIAGNOSIS_INTERVAL_MS;
     }
 
-    /** Records that the decision module took {@code ms} milliseconds for a batch of simultaneous events. */
+    /** Records that the routing policy took {@code ms} milliseconds for a batch of simultaneous events. */
     void recordBatch(double now, double durationMs) {
         heldCallLimit.recordBatch(now, durationMs, router.unansweredCalls());
-        // The module serves high-worth calls first, so a call only waits for held calls of its own rank and above.
+        // The policy serves high-worth calls first, so a call only waits for held calls of its own rank and above.
         double[] pressure = new double[ranks.count()];
         for (int callClass = 0; callClass < settings.classes().size(); callClass++) {
             pressure[ranks.rankOfClass(callClass)] += router.unansweredCalls(callClass);
--- a/src/main/java/damsonseam/node/CoordinatorClient.java
+++ b/src/main/java/damsonseam/node/CoordinatorClient.java
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Requests the server list for the module, which does so before the start, when {@link #start} connects anyway, and
-     * after a failure.
+     * Requests the server list for the routing policy, which does so before the start, when {@link #start} connects
+     * anyway, and after a failure.
      */
     @Override
     public void subscribeToUpdates() {
--- a/src/main/java/damsonseam/node/NodeCall.java
+++ b/src/main/java/damsonseam/node/NodeCall.java
@@ -6,7 +6,8 @@
 
 /**
  * A call as the SIP side sees it, beside the core's record: what is passed on unchanged, the caller's connection and
- * the server. A call established before this node's start has no record, as the module never had it. Event loop only.
+ * the server. A call established before this node's start has no record, as the routing policy never had it. Event
+ * loop only.
  */
 final class NodeCall implements RouterPorts.Caller {
     /** The caller's Call-ID. */
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -27,15 +27,15 @@
 
 /**
  * A running front node. Owns the caller listener, the server endpoints, the coordinator client, the core's router and
- * the decision module, which all run on one event loop. The public methods may be called from any other thread.
+ * the routing policy, which all run on one event loop. The public methods may be called from any other thread.
  */
 public final class NodeServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(NodeServer.class);
     /** Buffers from one arena of 256 KiB chunks without thread caches, as only the event loop allocates. */
     static final ByteBufAllocator ALLOCATOR = new PooledByteBufAllocator(true, 1, 1, 8192, 5, 0, 0, true);
-    /** Tick of the loop: well below the module's own tick of 20 ms. */
+    /** Tick of the loop: well below the policy's sweep interval of 20 ms. */
     private static final double TICK_MS = 2;
-    /** How long before its deadline the core fails a call that is still unanswered; the module acts sooner. */
+    /** How long before its deadline the core fails a call that is still unanswered; the policy acts sooner. */
     private static final double ANSWER_MARGIN_MS = 8;
     /** How long the CANCEL of an attempt may take to be written before the attempt counts as ended anyway. */
     private static final double RELEASE_WRITE_TIMEOUT_MS = 100;
@@ -50,7 +50,7 @@
     private static final int MAX_SERVER_CONNECTIONS = 96;
     /** Server connections use at most the file descriptors divided by this. */
     private static final int SERVER_DESCRIPTOR_DIVISOR = 6;
-    /** Shortest pause of the event loop that is logged: callers and the module's estimates are affected by it. */
+    /** Shortest pause of the event loop that is logged: callers and the policy's estimates are affected by it. */
     private static final double MIN_LOGGED_PAUSE_MS = 250;
 
     private final NodeConfig config;
@@ -73,8 +73,8 @@
         loop = new CoreLoop((EventLoop) group.next(), TICK_MS);
         pendingReleases = new PendingReleases(loop);
         callRegistry = new CallRegistry(pendingReleases);
-        PolicySettings moduleSettings = config.settings().policySettings(config.seed());
-        classes = moduleSettings.classes();
+        PolicySettings policySettings = config.settings().policySettings(config.seed());
+        classes = policySettings.classes();
         InviteParser inviteParser = new InviteParser(config.settings());
         int maxServerConnections = Math.min(MAX_SERVER_CONNECTIONS, config.maxSockets() / SERVER_DESCRIPTOR_DIVISOR);
         serverEndpoints = new ServerEndpoints(
@@ -84,7 +84,7 @@
                 config.settings().connectTimeout().orElse(DEFAULT_CONNECT_TIMEOUT_MS),
                 maxServerConnections,
                 config.seed(),
-                moduleSettings.mayProbe().orElse(false));
+                policySettings.mayProbe().orElse(false));
         // Callers that send set-ups use up to a third of the descriptors; the rest is for peers that only connect.
         callerListener = new CallerListener(
                 loop,
@@ -98,8 +98,8 @@
                 config.settings().maxHeldCalls().orElse(DEFAULT_MAX_OPEN_CALLS),
                 config.memoryMb() > 0 ? config.memoryMb() * CALLS_PER_MB : DEFAULT_MAX_OPEN_CALLS);
         router = new Router(
-                new RouterSettings(moduleSettings, maxOpenCalls, TICK_MS, RELEASE_WRITE_TIMEOUT_MS, ANSWER_MARGIN_MS),
-                actions -> new CongestionControlPolicy(moduleSettings, actions),
+                new RouterSettings(policySettings, maxOpenCalls, TICK_MS, RELEASE_WRITE_TIMEOUT_MS, ANSWER_MARGIN_MS),
+                actions -> new CongestionControlPolicy(policySettings, actions),
                 new CallTable(maxOpenCalls, System.currentTimeMillis() / 1000),
                 loop.timers(),
                 (call, number, deadline) -> {
--- a/src/main/java/damsonseam/node/ServerEndpoint.java
+++ b/src/main/java/damsonseam/node/ServerEndpoint.java
@@ -117,7 +117,7 @@
         }
     }
 
-    /** An OPTIONS request without a response yet; the module is notified of the outcome if it requested the probe. */
+    /** An OPTIONS request without a response yet; the policy is notified of the outcome if it requested the probe. */
     private record Probe(double sentAtMs, boolean requested, ServerConnection connection) {}
 
     ServerEndpoint(ServerEndpoints.EndpointContext context, Router router, ServerList.Server server) {
@@ -680,7 +680,7 @@
 
     // ---- Probes -----------------------------------------------------------------------------------------
 
-    /** Sends a probe that the module requested. */
+    /** Sends a probe that the routing policy requested. */
     void probe() {
         sendProbe(true);
     }
--- a/src/main/java/damsonseam/standin/RandomRoutingPolicy.java
+++ b/src/main/java/damsonseam/standin/RandomRoutingPolicy.java
@@ -51,8 +51,8 @@
     }
 
     @Override
-    public void onCallEstablished(double now, long call, String server, int attempt, double delay) {
-        onCallAbandoned(now, call);
+    public void onCallEstablished(double now, long callId, String serverId, int attempt, double delay) {
+        onCallAbandoned(now, callId);
     }
 
     @Override
@@ -72,14 +72,14 @@
     }
 
     @Override
-    public void onCallAbandoned(double now, long call) {
-        attemptCounts.remove(call);
-        deadlinesMs.remove(call);
+    public void onCallAbandoned(double now, long callId) {
+        attemptCounts.remove(callId);
+        deadlinesMs.remove(callId);
     }
 
     @Override
     public void onProbeResult(
-            double now, String server, boolean asked, boolean answered, double delay, ServerLoadReport report) {}
+            double now, String serverId, boolean requested, boolean answered, double delay, ServerLoadReport report) {}
 
     @Override
     public void onMessage(double now, int from, byte[] body) {}
@@ -96,8 +96,8 @@
 
     @Override
     public void onBatchEnd(double now) {
-        for (Long call = readyCalls.poll(); call != null; call = readyCalls.poll()) {
-            if (!attemptCounts.containsKey(call)) {
+        for (Long callId = readyCalls.poll(); callId != null; callId = readyCalls.poll()) {
+            if (!attemptCounts.containsKey(callId)) {
                 continue;
             }
             List<String> running = new ArrayList<>();
@@ -107,11 +107,11 @@
                 }
             });
             if (running.isEmpty()) {
-                onCallAbandoned(now, call);
-                actions.failCall(call);
+                onCallAbandoned(now, callId);
+                actions.failCall(callId);
             } else {
-                attemptCounts.merge(call, 1, Integer::sum);
-                actions.sendSetUp(call, running.get(random.nextInt(running.size())), deadlinesMs.get(call));
+                attemptCounts.merge(callId, 1, Integer::sum);
+                actions.sendSetUp(callId, running.get(random.nextInt(running.size())), deadlinesMs.get(callId));
             }
         }
     }
--- a/src/test/java/damsonseam/config/SettingsTest.java
+++ b/src/test/java/damsonseam/config/SettingsTest.java
@@ -35,7 +35,7 @@
         assertEquals(1_500, settings.classes().get(0).aim().ms());
         assertEquals(512, settings.trunks().circuits());
         assertEquals(0, settings.numberPlan().find("5981").callClass());
-        assertEquals(300, settings.moduleSettings(1).releaseGuard().getAsDouble());
+        assertEquals(300, settings.policySettings(1).releaseGuard().getAsDouble());
     }
 
     @Test
--- a/src/test/java/damsonseam/sim/SimulatedFront.java
+++ b/src/test/java/damsonseam/sim/SimulatedFront.java
@@ -115,12 +115,12 @@
         FrontSettings settings = settings();
         router = new Router(
                 new RouterSettings(
-                        settings.moduleSettings(3),
+                        settings.policySettings(3),
                         maxCalls,
                         FrontSettings.TICK_MS,
                         RELEASE_WAIT_MS,
                         FrontSettings.ANSWER_SLACK_MS),
-                actions -> new CongestionControlPolicy(settings.moduleSettings(3), actions),
+                actions -> new CongestionControlPolicy(settings.policySettings(3), actions),
                 new CallTable(maxCalls, 1),
                 timers,
                 (call, number, deadline) -> {
