--- a/src/main/java/damsonseam/node/CallerConnection.java
+++ b/src/main/java/damsonseam/node/CallerConnection.java
@@ -97,7 +97,7 @@
     boolean isExpired(double now) {
         boolean midMessage = decoder.isMidMessage();
         double limitMs = !messageReceived || midMessage ? SILENCE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
-        // A message that takes longer to arrive than any caller waits for its answer is not worth finishing.
+        // A message that takes longer to arrive than any caller waits for a final response is not worth finishing.
         boolean messageOverdue =
                 midMessage && now - midMessageSinceMs > listener.inviteParser().maxPatienceMs();
         return pendingCalls.isEmpty()
--- a/src/main/java/damsonseam/node/PendingReleases.java
+++ b/src/main/java/damsonseam/node/PendingReleases.java
@@ -18,7 +18,7 @@
  * answers the BYE with 200, and at most {@link #MAX_AGE_MS}. That a BYE was written does not prove that it arrived: its
  * connection may be closing at the far end, or may belong to another caller on the same host. An unconfirmed BYE is
  * sent again on another connection, at once if its connection closes and otherwise after
- * {@link #CONFIRMATION_TIMEOUT_MS}. A caller that receives it twice no longer knows the call the second time.
+ * {@link #CONFIRMATION_TIMEOUT_MS}. Repeating it is harmless: the caller no longer knows the call the second time.
  *
  * <p>Used on the event loop only; holds at most {@link #MAX_PENDING} releases.
  */
--- a/src/main/java/damsonseam/node/ServerEndpoint.java
+++ b/src/main/java/damsonseam/node/ServerEndpoint.java
@@ -53,8 +53,8 @@
     /** Silence after which a server with established calls is probed. */
     private static final double PROBE_AFTER_MS = 2_000;
     /**
-     * Silence after which the calls established at a server count as cut: the platform requires the release of a call
-     * within 8 s, even if nobody reported its end.
+     * Silence after which the calls established at a server are released as failed: the platform requires the release
+     * of a call within 8 s of its end, even if the end was not reported.
      */
     private static final double DEAD_AFTER_MS = 5_000;
     /** How long a message may stay unfinished: longer than any TCP retransmission takes. */
@@ -476,7 +476,7 @@
         }
     }
 
-    /** Ends all attempts that have not been sent, since the server takes no new set-ups any more. */
+    /** Ends all attempts that have not been sent as unreachable, since the server accepts no new set-ups. */
     private void failUnsent() {
         failQueued();
         for (Attempt attempt : List.copyOf(attempts.values())) {
@@ -589,7 +589,7 @@
         router.callEstablished(now, attempt.recordId, attempt.index, report);
         call.answeringServer = null;
         if (call.establishedServer == null) {
-            // The core took the answer for too late: nobody waits for this call any more.
+            // The core considered the response too late: no caller waits for this call any more.
             call.answer = null;
             sendBye(call.callId, call.requestUri);
         }
@@ -635,9 +635,9 @@
     }
 
     /**
-     * Handles the release of a call by its server. An attempt that broke may have been set up all the same, and its BYE
-     * has the same Call-ID as the call's next attempt at this server. The two are distinguished by their connection
-     * while the one of the established or outstanding attempt is open.
+     * Handles the release of a call by its server. An attempt whose connection broke may have been established anyway,
+     * and its BYE has the same Call-ID as the call's next attempt at this server. The two are distinguished by their
+     * connection while the one of the established or outstanding attempt is open.
      */
     private void onBye(ServerConnection connection, SipMessage message, ServerLoadReport report) {
         NodeCall call = context.callRegistry().get(String.valueOf(message.callId()));
