--- a/src/main/java/damsonseam/day/FaultInjector.java
+++ b/src/main/java/damsonseam/day/FaultInjector.java
@@ -171,7 +171,7 @@
     }
 
     private void pauseFront(int frontIndex, long durationMs) {
-        peers.logEvent(SimulatedPeers.frontName(frontIndex), WireLog.STALL, Long.toString(durationMs));
+        peers.logEvent(SimulatedPeers.frontName(frontIndex), WireLog.PAUSED, Long.toString(durationMs));
         fronts.get(frontIndex).pause(durationMs);
     }
 
--- a/src/main/java/damsonseam/day/ScenarioRun.java
+++ b/src/main/java/damsonseam/day/ScenarioRun.java
@@ -3,7 +3,7 @@
 import damsonseam.RoutingPolicy;
 import damsonseam.audit.AuditFolder;
 import damsonseam.audit.AuditReport;
-import damsonseam.audit.World;
+import damsonseam.audit.RunParameters;
 import damsonseam.config.Endpoint;
 import damsonseam.config.FrontSettings;
 import damsonseam.front.FrontServer;
@@ -60,17 +60,17 @@
         Path wireFolder = Files.createDirectories(outFolder.resolve("wire"));
         List<FrontServer> fronts = new ArrayList<>();
         try (SimulatedPeers peers = new SimulatedPeers(scenario, wireFolder)) {
-            List<World.FrontAt> worldFronts = new ArrayList<>();
+            List<RunParameters.FrontAddress> worldFronts = new ArrayList<>();
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (int i = 0; i < scenario.fronts(); i++) {
                 FrontSettings settings = peers.frontSettings(i, new Endpoint("127.0.0.1", 0));
                 FrontServer front = start(settings, decider, logCalls);
                 fronts.add(front);
                 addresses.add(front.enumAddress());
-                worldFronts.add(new World.FrontAt(
+                worldFronts.add(new RunParameters.FrontAddress(
                         SimulatedPeers.frontName(i), front.enumAddress().getPort()));
             }
-            AuditFolder.write(outFolder, peers.world(worldFronts));
+            AuditFolder.writeRunParameters(outFolder, peers.world(worldFronts));
             for (FrontServer front : fronts) {
                 if (!front.awaitReady(READY_TIMEOUT_MS)) {
                     throw new IOException("a front was not ready within " + READY_TIMEOUT_MS + " ms");
