--- a/src/main/java/damsonseam/audit/AuditFolder.java
+++ b/src/main/java/damsonseam/audit/AuditFolder.java
@@ -9,25 +9,29 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Audits a folder that a run left: {@code world.json} and {@code wire/*.jsonl}. */
+/** Writes and audits the output folder of a run, which holds {@code world.json} and {@code wire/*.jsonl}. */
 public final class AuditFolder {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private AuditFolder() {}
 
-    /** Writes what the auditor must know of a run. */
-    public static void writeRunParameters(Path folder, RunParameters world) throws IOException {
+    /** Writes the parameters of a run to {@code world.json}. */
+    public static void writeRunParameters(Path folder, RunParameters parameters) throws IOException {
         JSON.writerWithDefaultPrettyPrinter()
-                .writeValue(folder.resolve("world.json").toFile(), world);
+                .writeValue(folder.resolve("world.json").toFile(), parameters);
     }
 
-    /** Reads all logs, sorts them by time, and checks the rules. */
+    /**
+     * Reads all wire logs, sorts their lines by time, and checks the rules. All lines are held in memory.
+     *
+     * @throws IOException if {@code world.json} is missing or a log cannot be read
+     */
     public static AuditReport audit(Path folder) throws IOException {
-        Path worldFile = folder.resolve("world.json");
-        if (!Files.isRegularFile(worldFile)) {
-            throw new IOException(worldFile + ": not there; expected the folder of a run");
+        Path parametersFile = folder.resolve("world.json");
+        if (!Files.isRegularFile(parametersFile)) {
+            throw new IOException(parametersFile + ": not found; expected the output folder of a run");
         }
-        RunParameters world = JSON.readValue(worldFile.toFile(), RunParameters.class);
+        RunParameters parameters = JSON.readValue(parametersFile.toFile(), RunParameters.class);
         List<WireLog.Line> lines = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder.resolve("wire"))) {
             for (Path file :
@@ -36,7 +40,7 @@
             }
         }
         lines.sort(Comparator.comparingLong(WireLog.Line::timeUs));
-        Auditor auditor = new Auditor(world);
+        Auditor auditor = new Auditor(parameters);
         lines.forEach(auditor::accept);
         return auditor.finish();
     }
--- a/src/main/java/damsonseam/audit/Auditor.java
+++ b/src/main/java/damsonseam/audit/Auditor.java
@@ -26,134 +26,146 @@
 import org.xbill.DNS.Section;
 
 /**
- * Checks the five rules from what passed the sockets, given in order of time. Attempts are told from the
- * set-ups that calculators got, calls from the questions that callers sent: no id of the front's own is used.
+ * Checks the five rules of routing against the messages recorded at the sockets, which must be passed in order of
+ * time. Calls are recognised by the DNS queries that callers sent and attempts by the set-ups that calculators
+ * received, so that no identifier assigned by a front is trusted. Not thread-safe; memory grows with the number of
+ * queries in the logs.
+ *
+ * <ol>
+ *   <li>Every query is answered exactly once, before its caller abandons the call, and no set-up follows the answer.
+ *   <li>A call has at most one pending attempt.
+ *   <li>No set-up is sent to a server that drains or is gone, apart from a grace period.
+ *   <li>A cold server is not overloaded by the fronts; see {@link ColdStartCheck}.
+ *   <li>After an unsuccessful attempt, the next set-up of the call waits for the guard time.
+ * </ol>
  */
 public final class Auditor {
-    /** Rule 1's slack, and the allowance for one end of a socket seeing a message later than the other. */
-    private static final long SLACK_US = 20_000;
-    /** Time in which a front that stood still must have answered what ran out in the meantime. */
-    private static final long BACKLOG_US = 100_000;
+    /** Tolerance of rule 1, and of the two ends of a socket recording the same message at different times. */
+    private static final long TIMING_TOLERANCE_US = 20_000;
+    /** Time after a pause within which a front must have answered the queries that expired during the pause. */
+    private static final long BACKLOG_GRACE_US = 100_000;
 
     private static final long US_PER_MS = 1_000;
-    private static final long NONE_US = 3_600_000_000L;
-    private static final int MOST_FINDINGS = 100;
+    /** Initial value of the minima, 1 hour; reported unless a smaller value is found. */
+    private static final long NO_MINIMUM_US = 3_600_000_000L;
 
-    private final RunParameters world;
+    private static final int MAX_FINDINGS = 100;
+
+    private final RunParameters parameters;
     private final Name suffix;
     private final Map<String, String> frontByPort = new HashMap<>();
     private final Map<Integer, String> calculatorByCode = new HashMap<>();
-    private final Map<String, Try> tries = new HashMap<>();
-    /** The last try of a number at a front: what a set-up for it belongs to. */
-    private final Map<String, Try> byNumber = new HashMap<>();
+    private final Map<String, Query> queries = new HashMap<>();
+    /** The latest query for each front and number; a set-up for the number belongs to it. */
+    private final Map<String, Query> latestQueryByNumber = new HashMap<>();
 
-    private final Map<String, Attempt> byCircuit = new HashMap<>();
-    /** When each front was made to stand still, from and until, in order. */
-    private final Map<String, List<long[]>> stalls = new HashMap<>();
+    private final Map<String, Attempt> attemptByCircuit = new HashMap<>();
+    /** Start and end of each injected pause of a front, in microseconds, in order. */
+    private final Map<String, List<long[]>> pausesByFront = new HashMap<>();
 
-    private final Map<String, Long> killedAt = new HashMap<>();
-    /** When a front was told that a server drains or is gone; absent while it was last told running. */
-    private final Map<String, Map<String, Long>> closedFor = new HashMap<>();
+    private final Map<String, Long> killedAtUs = new HashMap<>();
+    /** Time at which each front was notified that a server drains or is gone; absent while the server is running. */
+    private final Map<String, Map<String, Long>> unavailableSinceUs = new HashMap<>();
 
-    private final Map<String, Set<String>> listed = new HashMap<>();
-    private final ColdStarts colds;
+    private final Map<String, Set<String>> knownServers = new HashMap<>();
+    private final ColdStartCheck coldStartCheck;
     private final List<Finding> findings = new ArrayList<>();
     private final TreeMap<Integer, Long> perRule = new TreeMap<>();
     private long calls;
     private long notTaken;
     private long overtaken;
     private long resolved;
-    private long stood;
+    private long established;
     private long refused;
     private long failed;
     private long setUps;
-    private long leastAnswerLeftUs = NONE_US;
-    private long leastGuardLeftUs = NONE_US;
+    private long minAnswerTimeLeftUs = NO_MINIMUM_US;
+    private long minGuardTimeLeftUs = NO_MINIMUM_US;
 
-    /** One question of a caller and its answer. */
-    private static final class Try {
+    /** A query of a caller, its answer, and the state of the attempts that were made for it. */
+    private static final class Query {
         final String front;
         final String number;
-        final long askedUs;
-        long givesUpUs;
+        final long sentUs;
+        long deadlineUs;
         byte[] answer;
         long answeredUs = -1;
-        boolean stands;
-        Attempt out;
-        long badEndUs = Long.MIN_VALUE / 2;
+        boolean established;
+        Attempt pendingAttempt;
+        long lastFailureUs = Long.MIN_VALUE / 2;
 
-        Try(String front, String number, long askedUs) {
+        Query(String front, String number, long sentUs) {
             this.front = front;
             this.number = number;
-            this.askedUs = askedUs;
+            this.sentUs = sentUs;
         }
     }
 
-    /** One set-up. */
+    /** A set-up that a front sent to a server. */
     private static final class Attempt {
-        final Try of;
+        final Query query;
         final String server;
 
-        Attempt(Try of, String server) {
-            this.of = of;
+        Attempt(Query query, String server) {
+            this.query = query;
             this.server = server;
         }
     }
 
-    /** An auditor of a run in this world. */
-    public Auditor(RunParameters world) {
-        this.world = world;
-        suffix = E164Name.parseSuffix(world.suffix());
-        world.fronts().forEach(f -> frontByPort.put("front:" + f.port(), f.name()));
-        world.calculators().forEach(c -> calculatorByCode.put(c.pointCode(), c.id()));
-        colds = new ColdStarts(world);
+    /** Creates an auditor of a run with these parameters. */
+    public Auditor(RunParameters parameters) {
+        this.parameters = parameters;
+        suffix = E164Name.parseSuffix(parameters.suffix());
+        parameters.fronts().forEach(f -> frontByPort.put("front:" + f.port(), f.name()));
+        parameters.calculators().forEach(c -> calculatorByCode.put(c.pointCode(), c.id()));
+        coldStartCheck = new ColdStartCheck(parameters);
     }
 
-    /** The next line, not earlier than the one before. */
+    /** Processes the next line, which must not be earlier than the one before. */
     public void accept(WireLog.Line line) {
         switch (line.proto()) {
-            case WireLog.DNS -> dns(line);
-            case WireLog.M3UA -> m3ua(line);
-            case WireLog.CLOSED -> closed(line);
-            case WireLog.DIRECTORY -> directory(line);
-            case WireLog.STARTED -> colds.started(line.to(), line.timeUs());
-            case WireLog.PAUSED -> stall(line);
-            case WireLog.KILLED -> killedAt.put(line.to(), line.timeUs());
+            case WireLog.DNS -> onDns(line);
+            case WireLog.M3UA -> onM3ua(line);
+            case WireLog.CLOSED -> onConnectionClosed(line);
+            case WireLog.DIRECTORY -> onDirectoryUpdate(line);
+            case WireLog.STARTED -> coldStartCheck.onStarted(line.to(), line.timeUs());
+            case WireLog.PAUSED -> onPause(line);
+            case WireLog.KILLED -> killedAtUs.put(line.to(), line.timeUs());
             default -> {}
         }
     }
 
-    private void broken(int rule, long timeUs, String front, String what) {
+    private void recordViolation(int rule, long timeUs, String front, String what) {
         perRule.merge(rule, 1L, Long::sum);
-        if (findings.size() < MOST_FINDINGS) {
+        if (findings.size() < MAX_FINDINGS) {
             findings.add(new Finding(rule, timeUs, front, what));
         }
     }
 
-    // ---- Stalls -----------------------------------------------------------------------------------------
+    // ---- Pauses -----------------------------------------------------------------------------------------
 
-    private void stall(WireLog.Line line) {
-        long length = Long.parseLong(new String(line.payload(), java.nio.charset.StandardCharsets.US_ASCII));
-        List<long[]> all = stalls.computeIfAbsent(line.to(), f -> new ArrayList<>());
-        long from = line.timeUs();
-        // One that begins while another lasts waits for it: the loop sleeps them one after the other.
-        long start = all.isEmpty() ? from : Math.max(from, all.get(all.size() - 1)[1]);
-        all.add(new long[] {from, start + length * US_PER_MS});
+    private void onPause(WireLog.Line line) {
+        long lengthMs = Long.parseLong(new String(line.payload(), java.nio.charset.StandardCharsets.US_ASCII));
+        List<long[]> pauses = pausesByFront.computeIfAbsent(line.to(), f -> new ArrayList<>());
+        long fromUs = line.timeUs();
+        // The event loop runs pauses one after another: one that begins during another starts when that one ends.
+        long startUs = pauses.isEmpty() ? fromUs : Math.max(fromUs, pauses.get(pauses.size() - 1)[1]);
+        pauses.add(new long[] {fromUs, startUs + lengthMs * US_PER_MS});
     }
 
-    /** When a front that may stand still can have read something that came at this time. */
-    private long readAt(String front, long timeUs) {
-        List<long[]> all = stalls.getOrDefault(front, List.of());
+    /** Returns the earliest time at which the front can have read a message that arrived at the given time. */
+    private long readTimeUs(String front, long timeUs) {
+        List<long[]> pauses = pausesByFront.getOrDefault(front, List.of());
         long readUs = timeUs;
-        for (int i = 0; i < all.size() && all.get(i)[0] - SLACK_US <= readUs; i++) {
-            readUs = readUs < all.get(i)[1] ? all.get(i)[1] : readUs;
+        for (int i = 0; i < pauses.size() && pauses.get(i)[0] - TIMING_TOLERANCE_US <= readUs; i++) {
+            readUs = readUs < pauses.get(i)[1] ? pauses.get(i)[1] : readUs;
         }
         return readUs;
     }
 
     // ---- Callers ----------------------------------------------------------------------------------------
 
-    private void dns(WireLog.Line line) {
+    private void onDns(WireLog.Line line) {
         Message message;
         try {
             message = DnsCodec.decode(line.payload());
@@ -164,61 +176,61 @@
             return;
         }
         String number = E164Name.toNumber(message.getQuestion().getName(), suffix);
-        boolean question = !DnsCodec.isResponse(line.payload());
-        String front = frontByPort.get(question ? line.to() : line.from());
+        boolean isQuery = !DnsCodec.isResponse(line.payload());
+        String front = frontByPort.get(isQuery ? line.to() : line.from());
         if (number == null || front == null) {
             return;
         }
-        String caller = question ? line.from() : line.to();
+        String caller = isQuery ? line.from() : line.to();
         String key = caller + " " + front + " " + message.getHeader().getID() + " " + number;
-        if (question) {
-            asked(line.timeUs(), key, front, number);
+        if (isQuery) {
+            onQuery(line.timeUs(), key, front, number);
         } else {
-            answered(line, key, message);
+            onAnswer(line, key, message);
         }
     }
 
-    private void asked(long at, String key, String front, String number) {
-        Try known = tries.get(key);
-        if (known != null && at <= known.givesUpUs + SLACK_US) {
+    private void onQuery(long atUs, String key, String front, String number) {
+        Query previous = queries.get(key);
+        if (previous != null && atUs <= previous.deadlineUs + TIMING_TOLERANCE_US) {
             return;
         }
-        Try next = new Try(front, number, at);
-        next.givesUpUs = at + (long) (patience(number) * US_PER_MS);
-        if (known != null) {
-            close(known);
+        Query query = new Query(front, number, atUs);
+        query.deadlineUs = atUs + (long) (patienceMs(number) * US_PER_MS);
+        if (previous != null) {
+            closeQuery(previous);
         }
-        tries.put(key, next);
-        byNumber.put(front + " " + number, next);
+        queries.put(key, query);
+        latestQueryByNumber.put(front + " " + number, query);
     }
 
-    private double patience(String number) {
-        return world.numbers().stream()
+    private double patienceMs(String number) {
+        return parameters.numbers().stream()
                 .filter(n -> number.startsWith(n.prefix()))
                 .mapToDouble(RunParameters.NumberRange::patienceMs)
                 .findFirst()
                 .orElse(Double.MAX_VALUE / US_PER_MS);
     }
 
-    private void answered(WireLog.Line line, String key, Message message) {
-        Try of = tries.get(key);
-        if (of == null) {
-            broken(1, line.timeUs(), line.from(), "an answer to a question that was not asked: " + key);
+    private void onAnswer(WireLog.Line line, String key, Message message) {
+        Query query = queries.get(key);
+        if (query == null) {
+            recordViolation(1, line.timeUs(), line.from(), "answer without a matching query: " + key);
             return;
         }
-        if (of.answer != null) {
-            if (!java.util.Arrays.equals(of.answer, line.payload())) {
-                broken(1, line.timeUs(), of.front, "a second, other answer for " + of.number);
+        if (query.answer != null) {
+            if (!java.util.Arrays.equals(query.answer, line.payload())) {
+                recordViolation(1, line.timeUs(), query.front, "second, different answer for " + query.number);
             }
             return;
         }
-        of.answer = line.payload();
-        of.answeredUs = line.timeUs();
+        query.answer = line.payload();
+        query.answeredUs = line.timeUs();
         resolved++;
         int rcode = message.getRcode();
         if (rcode == Rcode.NOERROR && !message.getSection(Section.ANSWER).isEmpty()) {
-            stood++;
-            of.stands = true;
+            established++;
+            query.established = true;
         } else if (rcode == Rcode.REFUSED) {
             refused++;
         } else {
@@ -226,40 +238,45 @@
         }
     }
 
-    /** The end of a try: whether it was answered once and in time. */
-    private void close(Try of) {
-        long takenUs = readAt(of.front, of.askedUs);
-        Long killed = killedAt.get(of.front);
-        boolean dead = killed != null && killed >= of.askedUs - SLACK_US && killed <= of.givesUpUs;
-        boolean taken = takenUs + SLACK_US < of.givesUpUs && !dead;
-        if (of.answer == null && !taken) {
+    /** Closes a query: counts it and checks that it was answered in time. */
+    private void closeQuery(Query query) {
+        long readUs = readTimeUs(query.front, query.sentUs);
+        Long killedUs = killedAtUs.get(query.front);
+        boolean wasKilled =
+                killedUs != null && killedUs >= query.sentUs - TIMING_TOLERANCE_US && killedUs <= query.deadlineUs;
+        boolean wasRead = readUs + TIMING_TOLERANCE_US < query.deadlineUs && !wasKilled;
+        if (query.answer == null && !wasRead) {
             notTaken++;
             return;
         }
         calls++;
-        // A front that stands still while the time runs out answers when it runs again, and never with a set-up.
-        long dueUs = readAt(of.front, of.givesUpUs);
-        if (of.answer != null && dueUs == of.givesUpUs) {
-            leastAnswerLeftUs = Math.min(leastAnswerLeftUs, of.givesUpUs - of.answeredUs);
+        // A front that is paused when the deadline passes must answer once it runs again, and must not establish the
+        // call.
+        long answerDueUs = readTimeUs(query.front, query.deadlineUs);
+        if (query.answer != null && answerDueUs == query.deadlineUs) {
+            minAnswerTimeLeftUs = Math.min(minAnswerTimeLeftUs, query.deadlineUs - query.answeredUs);
         }
-        boolean late = of.answer != null && of.answeredUs > of.givesUpUs + SLACK_US;
-        if (dueUs > of.givesUpUs && late && !of.stands && of.answeredUs <= dueUs + BACKLOG_US) {
+        boolean isLate = query.answer != null && query.answeredUs > query.deadlineUs + TIMING_TOLERANCE_US;
+        if (answerDueUs > query.deadlineUs
+                && isLate
+                && !query.established
+                && query.answeredUs <= answerDueUs + BACKLOG_GRACE_US) {
             overtaken++;
-        } else if (of.answer == null) {
-            broken(1, of.givesUpUs, of.front, "no answer for " + of.number);
-        } else if (late) {
-            broken(
+        } else if (query.answer == null) {
+            recordViolation(1, query.deadlineUs, query.front, "no answer for " + query.number);
+        } else if (isLate) {
+            recordViolation(
                     1,
-                    of.answeredUs,
-                    of.front,
-                    "answered " + (of.answeredUs - of.givesUpUs) / US_PER_MS + " ms after the caller of " + of.number
-                            + " gave up");
+                    query.answeredUs,
+                    query.front,
+                    "answered " + (query.answeredUs - query.deadlineUs) / US_PER_MS + " ms after the caller of "
+                            + query.number + " abandoned the call");
         }
     }
 
     // ---- Signalling -------------------------------------------------------------------------------------
 
-    private void m3ua(WireLog.Line line) {
+    private void onM3ua(WireLog.Line line) {
         try {
             M3uaMessage message = M3uaMessage.decode(line.payload());
             if (message.kind() == M3uaMessage.Kind.DATA) {
@@ -269,95 +286,108 @@
                 server = toServer ? server : calculatorByCode.get(data.opc());
                 String front = "front-" + (toServer ? data.opc() : data.dpc());
                 if (server != null) {
-                    isup(line.timeUs(), front, server, toServer, IsupMessage.decode(data.isup()));
+                    onIsup(line.timeUs(), front, server, toServer, IsupMessage.decode(data.isup()));
                 }
             }
         } catch (SignallingProtocolException e) {
-            // Frames that can't be read set nothing up.
+            // A malformed frame cannot set up a call.
         }
     }
 
-    private void isup(long at, String front, String server, boolean toServer, IsupMessage message)
+    private void onIsup(long atUs, String front, String server, boolean toServer, IsupMessage message)
             throws SignallingProtocolException {
         String circuit = front + " " + server + " " + message.circuit();
-        Attempt attempt = byCircuit.get(circuit);
+        Attempt attempt = attemptByCircuit.get(circuit);
         switch (message.type()) {
             case IAM -> {
                 if (toServer) {
-                    setUp(
-                            at,
+                    onSetUp(
+                            atUs,
                             front,
                             server,
                             circuit,
                             CalledPartyNumber.decode(message.parameterValue(IsupMessage.CALLED_PARTY_NUMBER)));
                 }
             }
-            case ANM, CON -> end(attempt, circuit, at, false);
-            // Our own release of an attempt that was not answered: given up or called off.
+            case ANM, CON -> endAttempt(attempt, circuit, atUs, false);
+            // A release by the front ends an unanswered attempt: it timed out or was cancelled.
             case REL ->
-                end(attempt, circuit, at, toServer || IsupMessages.cause(message) == IsupMessage.TEMPORARY_FAILURE);
-            case RLC, RSC -> end(attempt, circuit, at, true);
+                endAttempt(
+                        attempt,
+                        circuit,
+                        atUs,
+                        toServer || IsupMessages.cause(message) == IsupMessage.TEMPORARY_FAILURE);
+            case RLC, RSC -> endAttempt(attempt, circuit, atUs, true);
             default -> {}
         }
     }
 
-    private void end(Attempt attempt, String circuit, long at, boolean badly) {
-        if (attempt != null && byCircuit.remove(circuit) != null && attempt.of != null) {
-            attempt.of.out = attempt.of.out == attempt ? null : attempt.of.out;
-            if (badly) {
-                attempt.of.badEndUs = at;
+    private void endAttempt(Attempt attempt, String circuit, long atUs, boolean unsuccessful) {
+        if (attempt != null && attemptByCircuit.remove(circuit) != null && attempt.query != null) {
+            attempt.query.pendingAttempt =
+                    attempt.query.pendingAttempt == attempt ? null : attempt.query.pendingAttempt;
+            if (unsuccessful) {
+                attempt.query.lastFailureUs = atUs;
             }
         }
     }
 
-    private void setUp(long at, String front, String server, String circuit, String number) {
+    private void onSetUp(long atUs, String front, String server, String circuit, String number) {
         setUps++;
-        colds.setUp(server, front, at);
-        Try of = byNumber.get(front + " " + number);
-        Long closedUs = closedFor.getOrDefault(front, Map.of()).get(server);
-        if (closedUs != null && at > closedUs + (long) (world.drainGraceMs() * US_PER_MS) + SLACK_US) {
-            broken(
+        coldStartCheck.onSetUp(server, front, atUs);
+        Query query = latestQueryByNumber.get(front + " " + number);
+        Long unavailableUs = unavailableSinceUs.getOrDefault(front, Map.of()).get(server);
+        if (unavailableUs != null
+                && atUs > unavailableUs + (long) (parameters.drainGraceMs() * US_PER_MS) + TIMING_TOLERANCE_US) {
+            recordViolation(
                     3,
-                    at,
+                    atUs,
                     front,
-                    "set-up for " + number + " to " + server + " " + (at - closedUs) / US_PER_MS
-                            + " ms after the front was told that it drains or is gone");
+                    "set-up for " + number + " to " + server + " " + (atUs - unavailableUs) / US_PER_MS
+                            + " ms after the front was notified that the server drains or is gone");
         }
-        if (of == null) {
-            broken(1, at, front, "set-up for " + number + ", which nobody asked for");
+        if (query == null) {
+            recordViolation(1, atUs, front, "set-up for " + number + " without a query");
             return;
         }
-        if (of.out != null) {
-            broken(2, at, front, "set-up for " + number + " to " + server + " while one is out at " + of.out.server);
+        if (query.pendingAttempt != null) {
+            recordViolation(
+                    2,
+                    atUs,
+                    front,
+                    "set-up for " + number + " to " + server + " while an attempt is pending at "
+                            + query.pendingAttempt.server);
         }
-        leastGuardLeftUs = Math.min(leastGuardLeftUs, at - of.badEndUs - (long) (world.guardMs() * US_PER_MS));
-        if (at - of.badEndUs < (long) (world.guardMs() * US_PER_MS)) {
-            broken(
+        minGuardTimeLeftUs =
+                Math.min(minGuardTimeLeftUs, atUs - query.lastFailureUs - (long) (parameters.guardMs() * US_PER_MS));
+        if (atUs - query.lastFailureUs < (long) (parameters.guardMs() * US_PER_MS)) {
+            recordViolation(
                     5,
-                    at,
+                    atUs,
                     front,
-                    "set-up for " + number + " " + (at - of.badEndUs) / US_PER_MS
-                            + " ms after an attempt that was given up or cut");
+                    "set-up for " + number + " " + (atUs - query.lastFailureUs) / US_PER_MS
+                            + " ms after an attempt was released or its connection was lost");
         }
-        if (of.answer != null && at > of.answeredUs + SLACK_US) {
-            broken(1, at, front, "set-up for " + number + " after its final answer");
+        if (query.answer != null && atUs > query.answeredUs + TIMING_TOLERANCE_US) {
+            recordViolation(1, atUs, front, "set-up for " + number + " after its final answer");
         }
-        of.out = new Attempt(of, server);
-        byCircuit.put(circuit, of.out);
+        query.pendingAttempt = new Attempt(query, server);
+        attemptByCircuit.put(circuit, query.pendingAttempt);
     }
 
-    /** A connection between a front and a calculator is gone, and all attempts on it with it. */
-    private void closed(WireLog.Line line) {
+    /** Ends all attempts on a signalling connection that was closed. */
+    private void onConnectionClosed(WireLog.Line line) {
         String prefix = line.from() + " " + line.to() + " ";
-        for (String circuit :
-                byCircuit.keySet().stream().filter(c -> c.startsWith(prefix)).toList()) {
-            end(byCircuit.get(circuit), circuit, line.timeUs(), true);
+        for (String circuit : attemptByCircuit.keySet().stream()
+                .filter(c -> c.startsWith(prefix))
+                .toList()) {
+            endAttempt(attemptByCircuit.get(circuit), circuit, line.timeUs(), true);
         }
     }
 
     // ---- Directory --------------------------------------------------------------------------------------
 
-    private void directory(WireLog.Line line) {
+    private void onDirectoryUpdate(WireLog.Line line) {
         Update update;
         try {
             update = Update.parseFrom(line.payload());
@@ -365,49 +395,49 @@
             return;
         }
         String front = line.to();
-        Map<String, Long> closed = closedFor.computeIfAbsent(front, f -> new HashMap<>());
-        Set<String> known = listed.computeIfAbsent(front, f -> new HashSet<>());
-        long toldUs = readAt(front, line.timeUs());
-        Set<String> named = new HashSet<>();
+        Map<String, Long> unavailable = unavailableSinceUs.computeIfAbsent(front, f -> new HashMap<>());
+        Set<String> known = knownServers.computeIfAbsent(front, f -> new HashSet<>());
+        long readUs = readTimeUs(front, line.timeUs());
+        Set<String> listed = new HashSet<>();
         for (Entry entry : update.getEntriesList()) {
-            named.add(entry.getServer());
+            listed.add(entry.getServer());
             known.add(entry.getServer());
             if (entry.getState() == State.RUNNING) {
-                closed.remove(entry.getServer());
+                unavailable.remove(entry.getServer());
                 if (entry.hasAgeMs()) {
-                    colds.told(entry.getServer(), front, toldUs - entry.getAgeMs() * US_PER_MS);
+                    coldStartCheck.onFrontNotified(entry.getServer(), front, readUs - entry.getAgeMs() * US_PER_MS);
                 }
             } else {
-                closed.putIfAbsent(entry.getServer(), toldUs);
+                unavailable.putIfAbsent(entry.getServer(), readUs);
             }
         }
         if (update.getFull()) {
-            known.stream().filter(s -> !named.contains(s)).forEach(s -> closed.putIfAbsent(s, toldUs));
+            known.stream().filter(s -> !listed.contains(s)).forEach(s -> unavailable.putIfAbsent(s, readUs));
         }
     }
 
-    /** Closes the books at the end of the run. */
+    /** Closes the remaining queries at the end of the run and returns the results. */
     public AuditReport finish() {
-        tries.values().forEach(this::close);
-        colds.findings().forEach(f -> broken(4, f.timeUs(), f.front(), f.what()));
+        queries.values().forEach(this::closeQuery);
+        coldStartCheck.findings().forEach(f -> recordViolation(4, f.timeUs(), f.front(), f.what()));
         long violations = perRule.values().stream().mapToLong(Long::longValue).sum();
-        Map<Integer, Long> all = new TreeMap<>();
+        Map<Integer, Long> violationsPerRule = new TreeMap<>();
         for (int rule = 1; rule <= 5; rule++) {
-            all.put(rule, perRule.getOrDefault(rule, 0L));
+            violationsPerRule.put(rule, perRule.getOrDefault(rule, 0L));
         }
         return new AuditReport(
                 calls,
                 notTaken,
                 overtaken,
                 resolved,
-                stood,
+                established,
                 refused,
                 failed,
                 setUps,
                 violations,
-                all,
+                violationsPerRule,
                 findings,
-                leastAnswerLeftUs / (double) US_PER_MS,
-                leastGuardLeftUs / (double) US_PER_MS);
+                minAnswerTimeLeftUs / (double) US_PER_MS,
+                minGuardTimeLeftUs / (double) US_PER_MS);
     }
 }
--- a/src/main/java/damsonseam/audit/CallTrace.java
+++ b/src/main/java/damsonseam/audit/CallTrace.java
@@ -24,24 +24,30 @@
 import org.xbill.DNS.Rcode;
 import org.xbill.DNS.Section;
 
-/** What passed the sockets for one number, told in words: what a finding of the auditor is about. */
+/**
+ * Lists the messages that were recorded at the sockets for one called number, as readable lines, to explain a finding
+ * of the auditor. The number of lines of a trace is bounded.
+ */
 public final class CallTrace {
     private static final Pattern NUMBER = Pattern.compile("\\b\\d{8,20}\\b");
-    private static final int MOST_LINES = 200;
+    private static final int MAX_LINES = 200;
 
     private final String number;
-    private final List<String> told = new ArrayList<>();
-    /** Circuits that carry a call of the number now: front, calculator and circuit. */
+    private final List<String> entries = new ArrayList<>();
+    /** Circuits currently used by a call to the number, as both parties and the circuit number. */
     private final Set<String> circuits = new HashSet<>();
 
     private CallTrace(String number) {
         this.number = number;
     }
 
-    /** The story of the number that a finding names, from the folder of its run; empty if it names none. */
+    /**
+     * Returns the trace of the number named in a finding, from the folder of its run; empty if the finding names no
+     * number.
+     */
     public static List<String> forFinding(Path folder, Finding finding) throws IOException {
-        Matcher named = NUMBER.matcher(finding.what());
-        if (!named.find()) {
+        Matcher numberMatcher = NUMBER.matcher(finding.what());
+        if (!numberMatcher.find()) {
             return List.of();
         }
         List<WireLog.Line> lines = new ArrayList<>();
@@ -58,32 +64,32 @@
             }
         }
         lines.sort(Comparator.comparingLong(WireLog.Line::timeUs));
-        CallTrace story = new CallTrace(named.group());
+        CallTrace trace = new CallTrace(numberMatcher.group());
         for (WireLog.Line line : lines) {
-            if (story.told.size() < MOST_LINES) {
-                story.line(line);
+            if (trace.entries.size() < MAX_LINES) {
+                trace.accept(line);
             }
         }
-        return story.told;
+        return trace.entries;
     }
 
-    private void line(WireLog.Line line) {
+    private void accept(WireLog.Line line) {
         try {
             switch (line.proto()) {
-                case WireLog.DNS -> dns(line, DnsCodec.decode(line.payload()));
-                case WireLog.M3UA -> signal(line, M3uaMessage.decode(line.payload()));
+                case WireLog.DNS -> onDns(line, DnsCodec.decode(line.payload()));
+                case WireLog.M3UA -> onM3ua(line, M3uaMessage.decode(line.payload()));
                 default ->
-                    tell(
+                    append(
                             line,
-                            "stands still for " + new String(line.payload(), java.nio.charset.StandardCharsets.US_ASCII)
+                            "paused for " + new String(line.payload(), java.nio.charset.StandardCharsets.US_ASCII)
                                     + " ms");
             }
         } catch (DnsFormatException | SignallingProtocolException e) {
-            // What can't be read is no part of a call's story.
+            // Malformed messages are not part of a call's trace.
         }
     }
 
-    private void dns(WireLog.Line line, Message message) {
+    private void onDns(WireLog.Line line, Message message) {
         if (message.getQuestion() == null) {
             return;
         }
@@ -93,19 +99,20 @@
             digits.append(label.length() == 1 ? label : "");
         }
         if (digits.toString().equals(number)) {
-            boolean answer = DnsCodec.isResponse(line.payload());
-            boolean stands = answer && !message.getSection(Section.ANSWER).isEmpty();
-            tell(
+            boolean isAnswer = DnsCodec.isResponse(line.payload());
+            boolean established =
+                    isAnswer && !message.getSection(Section.ANSWER).isEmpty();
+            append(
                     line,
-                    stands
-                            ? "answer stands"
-                            : answer
+                    established
+                            ? "answer established"
+                            : isAnswer
                                     ? "answer " + Rcode.string(message.getRcode())
                                     : "question " + message.getHeader().getID());
         }
     }
 
-    private void signal(WireLog.Line line, M3uaMessage frame) throws SignallingProtocolException {
+    private void onM3ua(WireLog.Line line, M3uaMessage frame) throws SignallingProtocolException {
         if (frame.kind() != M3uaMessage.Kind.DATA) {
             return;
         }
@@ -122,7 +129,7 @@
             }
         }
         if (circuits.contains(circuit)) {
-            tell(
+            append(
                     line,
                     message.type()
                             + (message.type() == IsupMessage.Type.REL ? " cause " + IsupMessages.cause(message) : "")
@@ -130,7 +137,8 @@
         }
     }
 
-    private void tell(WireLog.Line line, String what) {
-        told.add(String.format(Locale.ROOT, "%.6f s %s > %s: %s", line.timeUs() / 1e6, line.from(), line.to(), what));
+    private void append(WireLog.Line line, String event) {
+        entries.add(
+                String.format(Locale.ROOT, "%.6f s %s > %s: %s", line.timeUs() / 1e6, line.from(), line.to(), event));
     }
 }
--- a/src/main/java/damsonseam/audit/RunParameters.java
+++ b/src/main/java/damsonseam/audit/RunParameters.java
@@ -3,18 +3,20 @@
 import java.util.List;
 
 /**
- * What a run was set up with, as far as the rules need it; written beside the wire logs as world.json.
+ * The parameters of a run that the audit needs, written to {@code world.json} next to the wire logs. The component
+ * names are its keys.
  *
- * @param suffix the domain of the numbers
- * @param numbers prefixes of numbers with what their callers bear and what a call is worth
- * @param fronts the fronts and where callers reach them
- * @param calculators the calculators and what they can do
- * @param drainGraceMs figure of rule 3
- * @param coldFrom share of its capacity at which a calculator starts
- * @param warmMs time in which it is warm
- * @param tipMultiple figure of rule 4
- * @param tipWindowMs figure of rule 4
- * @param guardMs figure of rule 5
+ * @param suffix ENUM domain suffix of the numbers
+ * @param numbers number prefixes and the patience of their callers
+ * @param fronts the fronts and their DNS ports
+ * @param calculators the calculators and their capacities
+ * @param drainGraceMs time after the notification of a drain in which set-ups are still allowed (rule 3), in
+ *     milliseconds
+ * @param coldFrom share of its capacity that a calculator has when it starts, 0 to 1
+ * @param warmMs time from its start until a calculator has its full capacity, in milliseconds
+ * @param tipMultiple allowed set-ups to a cold calculator, as a multiple of its capacity (rule 4)
+ * @param tipWindowMs length of the window over which these set-ups are counted, in milliseconds
+ * @param guardMs minimum time between an unsuccessful attempt and the next set-up of the call (rule 5), in milliseconds
  */
 public record RunParameters(
         String suffix,
@@ -28,12 +30,12 @@
         double tipWindowMs,
         double guardMs) {
 
-    /** Numbers of one class. */
+    /** A number prefix and the patience of the callers of its numbers, in milliseconds. */
     public record NumberRange(String prefix, double patienceMs) {}
 
-    /** A front: its name, by its point code, and the port of its DNS. */
+    /** A front: its name, which contains its point code, and its DNS port. */
     public record FrontAddress(String name, int port) {}
 
-    /** A calculator: its name, its point code, and the set-ups a second that it can do when warm. */
+    /** A calculator: its name, its point code, and its capacity when warm, in set-ups per second. */
     public record Calculator(String id, int pointCode, double setUpsPerS) {}
 }
--- a/src/main/java/damsonseam/audit/package-info.java
+++ b/src/main/java/damsonseam/audit/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What passed the sockets, written down as octets, and the auditor that reads it and checks the five rules
- * without any word of the front.
+ * Logs of the messages that passed the sockets during a run, and the audit that checks the five rules of routing from
+ * these logs alone, independently of anything the fronts report.
  */
 package damsonseam.audit;
