--- a/src/main/java/damsonseam/bench/BareResponder.java
+++ b/src/main/java/damsonseam/bench/BareResponder.java
@@ -22,7 +22,10 @@
 import org.xbill.DNS.OPTRecord;
 import org.xbill.DNS.Section;
 
-/** The least that answers the same questions: one loop that reads a message and writes one, and decides nothing. */
+/**
+ * The minimal responder to the same queries, as a baseline: one event loop that decodes a query and writes a fixed
+ * answer, without any routing.
+ */
 final class BareResponder implements AutoCloseable {
     private final Channel socket;
 
--- a/src/main/java/damsonseam/bench/DrainBench.java
+++ b/src/main/java/damsonseam/bench/DrainBench.java
@@ -23,18 +23,21 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** Drains one calculator again and again under load and reads from the wire how long set-ups still reach it. */
+/**
+ * Drains one calculator repeatedly under load and measures from the wire logs how long after the update, as sent by the
+ * directory, set-ups still reach it.
+ */
 public final class DrainBench {
     private static final int FRONTS = 4;
-    private static final long PAUSE_MS = 300;
+    private static final long STATE_INTERVAL_MS = 300;
 
     private DrainBench() {}
 
-    /** Runs so many drains at 800 calls a second over four fronts and four calculators. */
+    /** Runs {@code drains} drains at 800 calls per second over four fronts and four calculators. */
     public static Map<String, Object> run(int drains) throws Exception {
-        CalculatorSettings each =
+        CalculatorSettings calculatorSettings =
                 new CalculatorSettings(2_000.0, null, null, null, null, null, null, null, null, null, null);
-        Scenario.CallerClass kind = new Scenario.CallerClass(
+        Scenario.CallerClass callerClass = new Scenario.CallerClass(
                 "simulacion",
                 "59821",
                 1.0,
@@ -50,35 +53,35 @@
                 null,
                 1L,
                 FRONTS,
-                new Scenario.Calculators(4, each),
-                new Scenario.Load(800.0, List.of(kind)),
+                new Scenario.Calculators(4, calculatorSettings),
+                new Scenario.Load(800.0, List.of(callerClass)),
                 new Scenario.Directory(TimeSpan.ms(0), null),
                 null,
                 null);
         Path folder = Files.createTempDirectory("drain");
         List<FrontServer> fronts = new ArrayList<>();
-        try (SimulatedPeers around = new SimulatedPeers(scenario, folder)) {
+        try (SimulatedPeers peers = new SimulatedPeers(scenario, folder)) {
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (int i = 0; i < FRONTS; i++) {
-                FrontServer front = FrontServer.start(around.frontSettings(i, new Endpoint("127.0.0.1", 0)), false);
+                FrontServer front = FrontServer.start(peers.frontSettings(i, new Endpoint("127.0.0.1", 0)), false);
                 fronts.add(front);
                 addresses.add(front.enumAddress());
                 if (!front.awaitReady(10_000)) {
-                    throw new IOException("a front was not ready");
+                    throw new IOException("front did not become ready within 10 s");
                 }
             }
-            around.callers().start(addresses, scenario.load().callsPerS());
+            peers.callers().start(addresses, scenario.load().callsPerS());
             Thread.sleep(3_000);
             for (int i = 0; i < drains; i++) {
-                around.directory().updateNow(around.directoryEntry(0), State.DRAINING);
-                Thread.sleep(PAUSE_MS);
-                around.directory().updateNow(around.directoryEntry(0), State.RUNNING);
-                Thread.sleep(PAUSE_MS);
+                peers.directory().updateNow(peers.directoryEntry(0), State.DRAINING);
+                Thread.sleep(STATE_INTERVAL_MS);
+                peers.directory().updateNow(peers.directoryEntry(0), State.RUNNING);
+                Thread.sleep(STATE_INTERVAL_MS);
             }
-            around.callers().stopArrivals();
+            peers.callers().stopArrivals();
             fronts.forEach(FrontServer::close);
-            around.close();
-            return read(folder, drains);
+            peers.close();
+            return readReport(folder, drains);
         } finally {
             fronts.forEach(FrontServer::close);
             try (var files = Files.walk(folder)) {
@@ -87,14 +90,14 @@
         }
     }
 
-    private static Map<String, Object> read(Path folder, int drains) throws Exception {
+    private static Map<String, Object> readReport(Path folder, int drains) throws Exception {
         List<WireLog.Line> lines = new ArrayList<>();
         WireLog.read(folder.resolve("directory.jsonl"), lines::add);
         WireLog.read(folder.resolve("calculators.jsonl"), lines::add);
         lines.sort(Comparator.comparingLong(WireLog.Line::timeUs));
-        Histogram lastUs = new Histogram(10_000_000, 3);
-        Map<String, Long> drainedAt = new LinkedHashMap<>();
-        Map<String, Long> last = new LinkedHashMap<>();
+        Histogram lastSetUpUs = new Histogram(10_000_000, 3);
+        Map<String, Long> drainedAtUs = new LinkedHashMap<>();
+        Map<String, Long> lastSetUpAfterUs = new LinkedHashMap<>();
         for (WireLog.Line line : lines) {
             if (line.proto().equals(WireLog.DIRECTORY)) {
                 var update = damsonseam.directory.wire.Update.parseFrom(line.payload());
@@ -102,22 +105,22 @@
                     continue;
                 }
                 if (update.getEntries(0).getState() == State.DRAINING) {
-                    drainedAt.put(line.to(), line.timeUs());
-                    last.put(line.to(), 0L);
-                } else if (drainedAt.remove(line.to()) != null) {
-                    lastUs.recordValue(last.get(line.to()));
+                    drainedAtUs.put(line.to(), line.timeUs());
+                    lastSetUpAfterUs.put(line.to(), 0L);
+                } else if (drainedAtUs.remove(line.to()) != null) {
+                    lastSetUpUs.recordValue(lastSetUpAfterUs.get(line.to()));
                 }
-            } else if (line.to().startsWith("calc-00") && drainedAt.containsKey(line.from()) && isSetUp(line)) {
-                last.put(line.from(), line.timeUs() - drainedAt.get(line.from()));
+            } else if (line.to().startsWith("calc-00") && drainedAtUs.containsKey(line.from()) && isSetUp(line)) {
+                lastSetUpAfterUs.put(line.from(), line.timeUs() - drainedAtUs.get(line.from()));
             }
         }
         Map<String, Object> report = new LinkedHashMap<>();
         report.put("drains", drains);
         report.put("fronts", FRONTS);
-        report.put("measured", lastUs.getTotalCount());
-        report.put("lastSetUpP50Us", lastUs.getValueAtPercentile(50));
-        report.put("lastSetUpP99Us", lastUs.getValueAtPercentile(99));
-        report.put("lastSetUpMaxUs", lastUs.getMaxValue());
+        report.put("measured", lastSetUpUs.getTotalCount());
+        report.put("lastSetUpP50Us", lastSetUpUs.getValueAtPercentile(50));
+        report.put("lastSetUpP99Us", lastSetUpUs.getValueAtPercentile(99));
+        report.put("lastSetUpMaxUs", lastSetUpUs.getMaxValue());
         return report;
     }
 
--- a/src/main/java/damsonseam/bench/FrontProcess.java
+++ b/src/main/java/damsonseam/bench/FrontProcess.java
@@ -24,67 +24,68 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A front in a process of its own, so that what is measured is its collector, its processor time and its loop, and
- * not those of the load and the stand-ins. Told what to do by lines on its standard input.
+ * A front in a process of its own, so that its garbage collection, processor time and event loop are measured without
+ * those of the load and the stand-ins. The parent sends commands as lines to its standard input and reads one line of
+ * JSON in reply to each. Not thread-safe.
  */
 final class FrontProcess implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long READY_MS = 20_000;
+    private static final long READY_TIMEOUT_MS = 20_000;
 
     private final Path folder;
     private final Process process;
-    private final BufferedReader from;
-    private final BufferedWriter to;
+    private final BufferedReader processOutput;
+    private final BufferedWriter processInput;
     private final InetSocketAddress address;
 
-    /** Starts a front with what admits its calls and these options of its Java machine; waits until it is ready. */
-    FrontProcess(FrontSettings settings, AdmissionVariant admission, List<String> options) throws IOException {
+    /** Starts a front with an admission control and JVM options, and waits until it is ready. */
+    FrontProcess(FrontSettings settings, AdmissionVariant variant, List<String> jvmOptions) throws IOException {
         folder = Files.createTempDirectory("front");
         Path config = folder.resolve("front.yaml");
         new ObjectMapper(new YAMLFactory()).writeValue(config.toFile(), settings);
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(options);
+        command.addAll(jvmOptions);
         command.addAll(List.of(
                 "-cp",
                 System.getProperty("java.class.path"),
                 FrontProcess.class.getName(),
                 config.toString(),
-                admission.name()));
+                variant.name()));
         process = new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        from = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-        to = new BufferedWriter(new OutputStreamWriter(process.getOutputStream(), StandardCharsets.UTF_8));
-        address = new InetSocketAddress("127.0.0.1", answer().get("port").asInt());
+        processOutput = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+        processInput = new BufferedWriter(new OutputStreamWriter(process.getOutputStream(), StandardCharsets.UTF_8));
+        address = new InetSocketAddress("127.0.0.1", readReply().get("port").asInt());
     }
 
-    private JsonNode answer() throws IOException {
-        String line = from.readLine();
+    private JsonNode readReply() throws IOException {
+        String line = processOutput.readLine();
         if (line == null) {
-            throw new IOException("the front's process ended: exit " + process.exitValue());
+            throw new IOException("front process exited with status " + process.exitValue());
         }
         return JSON.readTree(line);
     }
 
-    private JsonNode tell(String what) throws IOException {
-        to.write(what + "\n");
-        to.flush();
-        return answer();
+    private JsonNode request(String command) throws IOException {
+        processInput.write(command + "\n");
+        processInput.flush();
+        return readReply();
     }
 
     InetSocketAddress address() {
         return address;
     }
 
-    /** Forgets the delays measured so far. */
+    /** Resets the delays measured so far. */
     void reset() throws IOException {
-        tell("reset");
+        request("reset");
     }
 
-    /** What the front says of itself. */
+    /** Returns the front's report on itself. */
     JsonNode report() throws IOException {
-        return tell("report");
+        return request("report");
     }
 
     @Override
@@ -102,17 +103,19 @@
         Files.deleteIfExists(folder);
     }
 
-    /** The process: settings file and baseline are its arguments. */
+    /** Runs the front process; the arguments are the settings file and the name of the admission variant. */
     public static void main(String[] args) throws Exception {
-        // Standard output is the parent's; nothing else may speak there.
+        // The parent reads standard output: no log line may appear there.
         ((Logger) LoggerFactory.getLogger(Logger.ROOT_LOGGER_NAME)).setLevel(Level.OFF);
         FrontSettings settings = Yaml.read(Path.of(args[0]), FrontSettings.class);
-        AdmissionVariant baseline = AdmissionVariant.valueOf(args[1].toUpperCase(Locale.ROOT));
-        FrontServer.Components own = FrontServer.Components.defaults(settings);
+        AdmissionVariant variant = AdmissionVariant.valueOf(args[1].toUpperCase(Locale.ROOT));
+        FrontServer.Components defaults = FrontServer.Components.defaults(settings);
         try (FrontServer front = FrontServer.start(
-                settings, new FrontServer.Components(own.module(), () -> baseline.newController(settings)), false)) {
-            if (!front.awaitReady(READY_MS)) {
-                throw new IOException("the front was not ready");
+                settings,
+                new FrontServer.Components(defaults.module(), () -> variant.newController(settings)),
+                false)) {
+            if (!front.awaitReady(READY_TIMEOUT_MS)) {
+                throw new IOException("front did not become ready");
             }
             System.out.println("{\"port\":" + front.enumAddress().getPort() + "}");
             BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
--- a/src/main/java/damsonseam/bench/MemoryBench.java
+++ b/src/main/java/damsonseam/bench/MemoryBench.java
@@ -26,13 +26,16 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 
-/** Heap of each open call in core, module and trunk groups, without sockets: waiting for an answer, and standing. */
+/**
+ * Measures the heap of each open call in core, decision module and trunk groups, without sockets: while its lookup is
+ * pending, and once it is established.
+ */
 public final class MemoryBench {
     private static final int SERVERS = 30;
 
     private MemoryBench() {}
 
-    /** Opens so many calls, measures, answers them all, and measures again. */
+    /** Opens {@code count} calls, measures the heap, answers them all, and measures the heap again. */
     public static Map<String, Object> run(int count) throws InterruptedException {
         TimerWheel timers = new TimerWheel(0);
         FrontSettings settings = new FrontSettings(
@@ -46,17 +49,17 @@
                 null,
                 null,
                 null);
-        Trunks trunks = new Trunks(timers);
+        AnsweringTrunks trunks = new AnsweringTrunks(timers);
         List<ServerList.Server> servers = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             servers.add(new ServerList.Server(
                     "s" + i, i, "127.0.0.1:1", 2 + i, ServerState.RUNNING, OptionalDouble.empty()));
         }
         List<Long> lookups = new ArrayList<>();
-        // The simplest module that sends: what is measured is the path, and the real one holds no standing calls.
+        // The path is measured rather than the module, which holds no established calls.
         Router router = new Router(
                 new RouterSettings(settings.moduleSettings(1), 2 * count, 5, 100, 20),
-                a -> new CongestionControlPolicy(settings.moduleSettings(1), a),
+                actions -> new CongestionControlPolicy(settings.moduleSettings(1), actions),
                 new CallTable(2 * count, 1),
                 timers,
                 (call, number, deadline) -> lookups.add(call),
@@ -65,50 +68,52 @@
                 CallTracer.NONE);
         trunks.router = router;
         router.serverListUpdated(0, 1, true, servers);
-        long before = heap();
+        long heapBefore = usedHeapBytes();
         double now = 1;
         for (int i = 0; i < count; i++) {
             router.callReceived(now, String.format("5982100%07d", i), 0, 600_000, 0, false, (a, b, c) -> {});
         }
-        long lookingUp = heap();
-        int standing = 0;
+        long heapLookingUp = usedHeapBytes();
+        int answered = 0;
         for (long call : lookups) {
             now += 0.2;
-            router.lookupCompleted(now, call, LookupResult.found(List.of("s" + standing % SERVERS)));
+            router.lookupCompleted(now, call, LookupResult.found(List.of("s" + answered % SERVERS)));
             router.endBatch(now);
             trunks.answerAll(now);
             router.endBatch(now);
-            standing++;
+            answered++;
         }
         lookups.clear();
-        long stands = heap();
+        long heapEstablished = usedHeapBytes();
         Map<String, Object> report = new LinkedHashMap<>();
         report.put("calls", count);
         report.put("open", router.openCalls());
         report.put("stood", router.counters().established);
-        report.put("octetsLookingUp", (lookingUp - before) / count);
-        report.put("octetsStanding", (stands - before) / Math.max(1, router.openCalls()));
+        report.put("octetsLookingUp", (heapLookingUp - heapBefore) / count);
+        report.put("octetsStanding", (heapEstablished - heapBefore) / Math.max(1, router.openCalls()));
         return report;
     }
 
-    private static long heap() throws InterruptedException {
-        long least = Long.MAX_VALUE;
+    /** Returns the minimum used heap after several collections, as a single one may leave garbage. */
+    private static long usedHeapBytes() throws InterruptedException {
+        long minBytes = Long.MAX_VALUE;
         for (int i = 0; i < 4; i++) {
             System.gc();
             Thread.sleep(50);
-            least = Math.min(
-                    least,
+            minBytes = Math.min(
+                    minBytes,
                     Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory());
         }
-        return least;
+        return minBytes;
     }
 
-    private static final class Trunks implements RouterPorts.ServerSignalling, RouterPorts.Directory {
+    /** Trunk groups to servers that answer every set-up once {@link #answerAll} is called. */
+    private static final class AnsweringTrunks implements RouterPorts.ServerSignalling, RouterPorts.Directory {
         private final Map<String, TrunkGroup> groups = new LinkedHashMap<>();
-        private final List<Runnable> answers = new ArrayList<>();
+        private final List<Runnable> pendingAnswers = new ArrayList<>();
         private Router router;
 
-        Trunks(TimerWheel timers) {
+        AnsweringTrunks(TimerWheel timers) {
             for (int i = 0; i < SERVERS; i++) {
                 String id = "s" + i;
                 groups.put(
@@ -122,7 +127,7 @@
                                     @Override
                                     public void send(IsupMessage message) {
                                         if (message.type() == IsupMessage.Type.IAM) {
-                                            answers.add(() -> groups.get(id)
+                                            pendingAnswers.add(() -> groups.get(id)
                                                     .onMessage(
                                                             0,
                                                             IsupMessage.of(message.circuit(), IsupMessage.Type.ANM)));
@@ -157,14 +162,14 @@
         }
 
         void answerAll(double now) {
-            List<Runnable> due = new ArrayList<>(answers);
-            answers.clear();
+            List<Runnable> due = new ArrayList<>(pendingAnswers);
+            pendingAnswers.clear();
             due.forEach(Runnable::run);
         }
 
         @Override
         public RouterPorts.SendFailure sendSetUp(
-                double now, String server, long call, int attempt, double until, CallRecord record) {
+                double now, String server, long call, int attempt, double deadline, CallRecord record) {
             return groups.get(server).setUp(call, attempt, record.number(), 10)
                     ? null
                     : new RouterPorts.SendFailure(AttemptStatus.FULL, RejectReason.NO_LINE);
--- a/src/main/java/damsonseam/bench/PathBench.java
+++ b/src/main/java/damsonseam/bench/PathBench.java
@@ -16,22 +16,22 @@
 import java.util.function.LongFunction;
 
 /**
- * The whole path, question to set-up to answer, through one front, against a bare responder to the same
- * questions in the same run: calls a second with a full window, and delays at half the front's rate. Both are
- * warmed first; rounds alternate, and medians are given.
+ * Compares the whole path through one front, from the query over the set-up to the answer, with a bare responder to the
+ * same queries in the same run: calls per second with a full window, and delays at half the front's rate. Both are
+ * warmed up first; rounds alternate, and the report gives medians.
  */
 public final class PathBench {
     private static final int WINDOW = 256;
     private static final int ROUNDS = 3;
-    private static final int KNOWN_NUMBERS = 5_000;
+    private static final int NUMBERS = 5_000;
 
     private PathBench() {}
 
-    /** Runs it; each round of each side takes {@code seconds}. */
-    public static Map<String, Object> run(double seconds) throws Exception {
+    /** Runs the benchmark and returns the report; each round of each side takes {@code roundS} seconds. */
+    public static Map<String, Object> run(double roundS) throws Exception {
         CalculatorSettings fast =
                 new CalculatorSettings(200_000.0, null, null, null, null, 60_000, null, null, null, null, null);
-        Scenario.CallerClass kind = new Scenario.CallerClass(
+        Scenario.CallerClass callerClass = new Scenario.CallerClass(
                 "simulacion",
                 "59821",
                 1.0,
@@ -48,53 +48,53 @@
                 1L,
                 1,
                 new Scenario.Calculators(8, fast),
-                new Scenario.Load(1.0, List.of(kind)),
+                new Scenario.Load(1.0, List.of(callerClass)),
                 null,
                 null,
                 null);
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-        LongFunction<String> numbers = n -> String.format("59821%02d%07d", n % 8, n % KNOWN_NUMBERS);
-        try (SimulatedPeers around = new SimulatedPeers(scenario, null);
-                FrontServer front = FrontServer.start(around.frontSettings(0, new Endpoint("127.0.0.1", 0)), false);
+        LongFunction<String> numberAt = index -> String.format("59821%02d%07d", index % 8, index % NUMBERS);
+        try (SimulatedPeers peers = new SimulatedPeers(scenario, null);
+                FrontServer front = FrontServer.start(peers.frontSettings(0, new Endpoint("127.0.0.1", 0)), false);
                 BareResponder bare = new BareResponder((EventLoop) group.next())) {
             if (!front.awaitReady(10_000)) {
-                throw new IllegalStateException("the front was not ready");
+                throw new IllegalStateException("front did not become ready within 10 s");
             }
             EventLoop loop = (EventLoop) group.next();
-            Asker toFront = new Asker(loop, SimulatedPeers.SUFFIX, numbers, front.enumAddress());
-            Asker toBare = new Asker(loop, SimulatedPeers.SUFFIX, numbers, bare.address());
-            toFront.full(WINDOW, seconds);
-            toBare.full(WINDOW, seconds);
+            QueryClient frontClient = new QueryClient(loop, SimulatedPeers.SUFFIX, numberAt, front.enumAddress());
+            QueryClient bareClient = new QueryClient(loop, SimulatedPeers.SUFFIX, numberAt, bare.address());
+            frontClient.runWithWindow(WINDOW, roundS);
+            bareClient.runWithWindow(WINDOW, roundS);
             double[] frontRates = new double[ROUNDS];
             double[] bareRates = new double[ROUNDS];
-            double stood = 1;
+            double minEstablishedShare = 1;
             long lost = 0;
             for (int i = 0; i < ROUNDS; i++) {
-                Asker.Result f = toFront.full(WINDOW, seconds);
-                frontRates[i] = f.perS();
-                stood = Math.min(stood, f.stoodShare());
-                lost += f.lost();
-                bareRates[i] = toBare.full(WINDOW, seconds).perS();
+                QueryClient.Result frontResult = frontClient.runWithWindow(WINDOW, roundS);
+                frontRates[i] = frontResult.answersPerS();
+                minEstablishedShare = Math.min(minEstablishedShare, frontResult.establishedShare());
+                lost += frontResult.lost();
+                bareRates[i] = bareClient.runWithWindow(WINDOW, roundS).answersPerS();
             }
             double frontRate = median(frontRates);
-            double half = frontRate / 2;
-            Asker.Result frontHalf = toFront.steady(half, seconds);
-            Asker.Result bareHalf = toBare.steady(half, seconds);
+            double halfRate = frontRate / 2;
+            QueryClient.Result frontHalf = frontClient.runAtRate(halfRate, roundS);
+            QueryClient.Result bareHalf = bareClient.runAtRate(halfRate, roundS);
             Map<String, Object> report = new LinkedHashMap<>();
             report.put("frontCallsPerS", Math.round(frontRate));
             report.put("bareAnswersPerS", Math.round(median(bareRates)));
             report.put("ratio", round(frontRate / median(bareRates)));
-            report.put("stoodShare", round(stood));
+            report.put("stoodShare", round(minEstablishedShare));
             report.put("lost", lost);
-            report.put("halfRatePerS", Math.round(half));
-            for (double p : new double[] {50, 99}) {
-                long f = frontHalf.delaysUs().getValueAtPercentile(p);
-                long b = bareHalf.delaysUs().getValueAtPercentile(p);
-                report.put("frontP" + (int) p + "Us", f);
-                report.put("bareP" + (int) p + "Us", b);
-                report.put("addedP" + (int) p + "Us", f - b);
+            report.put("halfRatePerS", Math.round(halfRate));
+            for (double percentile : new double[] {50, 99}) {
+                long frontUs = frontHalf.delaysUs().getValueAtPercentile(percentile);
+                long bareUs = bareHalf.delaysUs().getValueAtPercentile(percentile);
+                report.put("frontP" + (int) percentile + "Us", frontUs);
+                report.put("bareP" + (int) percentile + "Us", bareUs);
+                report.put("addedP" + (int) percentile + "Us", frontUs - bareUs);
             }
-            report.put("halfStoodShare", round(frontHalf.stoodShare()));
+            report.put("halfStoodShare", round(frontHalf.establishedShare()));
             report.put("front", front.report());
             return report;
         } finally {
@@ -102,13 +102,13 @@
         }
     }
 
-    private static double median(double[] of) {
-        double[] sorted = of.clone();
+    private static double median(double[] values) {
+        double[] sorted = values.clone();
         java.util.Arrays.sort(sorted);
         return sorted[sorted.length / 2];
     }
 
-    private static double round(double x) {
-        return Math.round(x * 1_000) / 1_000.0;
+    private static double round(double value) {
+        return Math.round(value * 1_000) / 1_000.0;
     }
 }
--- a/src/main/java/damsonseam/bench/package-info.java
+++ b/src/main/java/damsonseam/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements that are kept: each prints one JSON line, and compares within one run wherever it can. */
+/** Benchmarks. Each returns one report, printed as a line of JSON, and compares within one run wherever possible. */
 package damsonseam.bench;
--- a/src/main/java/damsonseam/cli/LoadCommand.java
+++ b/src/main/java/damsonseam/cli/LoadCommand.java
@@ -148,7 +148,7 @@
             for (double p : new double[] {50, 99, 99.9}) {
                 report.put("answerP" + p + "Ms", result.answerDelaysUs().getValueAtPercentile(p) / 1_000.0);
             }
-            report.put("sentLate", result.sentLateCount());
+            report.put("sentLate", result.lateSendCount());
             if (out != null) {
                 writeResults(result);
             }
--- a/src/main/java/damsonseam/load/LoadPlan.java
+++ b/src/main/java/damsonseam/load/LoadPlan.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * A load.
+ * The parameters of a load.
  *
- * @param fronts fronts, asked in turn
- * @param suffix the domain of the numbers
- * @param callerClasses classes of caller
- * @param rateProfile calls a second over time
- * @param durationS how long
- * @param seed of everything drawn
- * @param senderThreads that send
- * @param sourceAddresses addresses of 127.0.0.0/8 that questions come from, 1 for 127.0.0.1 alone
- * @param numbersPerClass numbers of each kind that are called again and again
- * @param firstChoices first-choice calculators that the numbers name, 1 to 100
+ * @param fronts DNS addresses of the fronts, queried in rotation
+ * @param suffix ENUM domain suffix of the numbers
+ * @param callerClasses classes of callers
+ * @param rateProfile arrival rate over time
+ * @param durationS duration in seconds
+ * @param seed seed of all random draws
+ * @param senderThreads number of threads that send
+ * @param sourceAddresses number of addresses of 127.0.0.0/8 that queries are sent from, 1 for 127.0.0.1 alone
+ * @param numbersPerClass number of different numbers that each class calls
+ * @param firstChoices number of first-choice calculators that the numbers name, 1 to 100
  */
 public record LoadPlan(
         List<InetSocketAddress> fronts,
@@ -29,10 +29,10 @@
         int numbersPerClass,
         int firstChoices) {
 
-    /** Checks. */
+    /** Checks the ranges of the components. */
     public LoadPlan {
         if (fronts.isEmpty() || callerClasses.isEmpty()) {
-            throw new IllegalArgumentException("a load needs a front and a class of caller");
+            throw new IllegalArgumentException("load: expected at least one front and one class of callers");
         }
         if (!(durationS > 0)
                 || senderThreads < 1
@@ -41,19 +41,20 @@
                 || numbersPerClass < 1
                 || firstChoices < 1
                 || firstChoices > 100) {
-            throw new IllegalArgumentException("load: expected seconds over 0, one thread at least, 1 to 200 senders, "
-                    + "one known number at least, 1 to 100 first choices");
+            throw new IllegalArgumentException(
+                    "load: expected a duration over 0 s, at least one thread, 1 to 200 source addresses, "
+                            + "at least one number per class, 1 to 100 first choices");
         }
     }
 
-    /** The same load with another profile and length. */
-    public LoadPlan withRateProfile(RateProfile other, double length) {
+    /** Returns this load with another rate profile and duration. */
+    public LoadPlan withRateProfile(RateProfile rateProfile, double durationS) {
         return new LoadPlan(
                 fronts,
                 suffix,
                 callerClasses,
-                other,
-                length,
+                rateProfile,
+                durationS,
                 seed,
                 senderThreads,
                 sourceAddresses,
@@ -62,15 +63,15 @@
     }
 
     /**
-     * A class of caller; it asks once and waits, and does not ask again.
+     * A class of callers. Each caller sends one query and never repeats it.
      *
-     * @param name for reports
-     * @param prefix of its numbers, 9 digits follow
-     * @param share of all calls
-     * @param aimMs time in which a call is wanted to stand
-     * @param patienceMs time after which its caller gives up
-     * @param worth of a call that stands in its aim
-     * @param lateShare part of the worth of one that stands later
+     * @param name name of the class in reports
+     * @param prefix prefix of its numbers, followed by 9 digits
+     * @param share relative share of all calls
+     * @param aimMs time in which a call should be established, in milliseconds
+     * @param patienceMs time after which the caller abandons the call, in milliseconds
+     * @param worth worth of a call that is established within the aim
+     * @param lateShare share of the worth of a call that is established later, 0 to 1
      */
     public record CallerClass(
             String name,
--- a/src/main/java/damsonseam/load/LoadResult.java
+++ b/src/main/java/damsonseam/load/LoadResult.java
@@ -7,16 +7,18 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of a load. Delays are counted from when a question was due, not from when it was sent, so that neither
- * a front nor a sender that falls behind can hide it (coordinated omission).
+ * The outcomes and delays of the calls of a load. Delays are measured from the time at which a query was due, not from
+ * the time at which it was sent, so that a front or a sender that falls behind is not hidden (coordinated omission).
+ * Not thread-safe: each sender fills its own result, and the results are merged at the end. Memory is bounded by the
+ * duration of the load.
  */
 public final class LoadResult {
-    /** Length of a slice of the series, in milliseconds. */
+    /** Length of the time slices in which outcomes are counted, in milliseconds. */
     public static final int SLICE_MS = 100;
 
-    private static final long MOST_US = 60_000_000L;
+    private static final long MAX_DELAY_US = 60_000_000L;
 
-    /** What became of a call. */
+    /** The outcome of a call; the names are keys of reports. */
     public enum Outcome {
         IN_AIM,
         LATE,
@@ -27,167 +29,179 @@
 
     private final List<LoadPlan.CallerClass> callerClasses;
     private final List<Histogram> establishedDelaysUs = new ArrayList<>();
-    private final Histogram answered = new Histogram(MOST_US, 3);
-    /** Counts by kind, slice of the due time, and end. */
-    private final long[][][] slices;
-
-    private long sentLate;
-
-    LoadResult(List<LoadPlan.CallerClass> kinds, double seconds) {
-        this.callerClasses = kinds;
-        slices = new long[kinds.size()][(int) (seconds * 1_000 / SLICE_MS) + 1][Outcome.values().length];
-        kinds.forEach(k -> establishedDelaysUs.add(new Histogram(MOST_US, 3)));
-    }
-
-    void recordOutcome(int kind, double dueMs, Outcome end, double delayMs) {
-        long[][] of = slices[kind];
-        of[Math.max(0, Math.min(of.length - 1, (int) (dueMs / SLICE_MS)))][end.ordinal()]++;
-        long us = Math.max(0, Math.min(MOST_US, (long) (delayMs * 1_000)));
-        if (end != Outcome.UNANSWERED) {
-            answered.recordValue(us);
+    private final Histogram answerDelaysUs = new Histogram(MAX_DELAY_US, 3);
+    /** Number of calls by caller class, slice of the due time, and outcome. */
+    private final long[][][] outcomeCounts;
+
+    private long lateSends;
+
+    LoadResult(List<LoadPlan.CallerClass> callerClasses, double durationS) {
+        this.callerClasses = callerClasses;
+        outcomeCounts =
+                new long[callerClasses.size()][(int) (durationS * 1_000 / SLICE_MS) + 1][Outcome.values().length];
+        callerClasses.forEach(k -> establishedDelaysUs.add(new Histogram(MAX_DELAY_US, 3)));
+    }
+
+    /** Records the outcome of a call of a class; {@code delayMs} counts from its due time {@code dueMs}. */
+    void recordOutcome(int classIndex, double dueMs, Outcome outcome, double delayMs) {
+        long[][] classCounts = outcomeCounts[classIndex];
+        classCounts[Math.max(0, Math.min(classCounts.length - 1, (int) (dueMs / SLICE_MS)))][outcome.ordinal()]++;
+        long delayUs = Math.max(0, Math.min(MAX_DELAY_US, (long) (delayMs * 1_000)));
+        if (outcome != Outcome.UNANSWERED) {
+            answerDelaysUs.recordValue(delayUs);
         }
-        if (end == Outcome.IN_AIM || end == Outcome.LATE) {
-            establishedDelaysUs.get(kind).recordValue(us);
+        if (outcome == Outcome.IN_AIM || outcome == Outcome.LATE) {
+            establishedDelaysUs.get(classIndex).recordValue(delayUs);
         }
     }
 
-    void sentLate() {
-        sentLate++;
+    /** Records a query that was sent late. */
+    void recordLateSend() {
+        lateSends++;
     }
 
-    void add(LoadResult other) {
-        for (int k = 0; k < slices.length; k++) {
-            for (int s = 0; s < slices[k].length; s++) {
+    /** Adds the counts and delays of another result of the same load. */
+    void merge(LoadResult other) {
+        for (int k = 0; k < outcomeCounts.length; k++) {
+            for (int s = 0; s < outcomeCounts[k].length; s++) {
                 for (int e = 0; e < Outcome.values().length; e++) {
-                    slices[k][s][e] += other.slices[k][s][e];
+                    outcomeCounts[k][s][e] += other.outcomeCounts[k][s][e];
                 }
             }
             establishedDelaysUs.get(k).add(other.establishedDelaysUs.get(k));
         }
-        answered.add(other.answered);
-        sentLate += other.sentLate;
+        answerDelaysUs.add(other.answerDelaysUs);
+        lateSends += other.lateSends;
     }
 
-    /** Calls of a kind (-1: of all) with this end, due from one second to another. */
-    public long count(int kind, Outcome end, double from, double until) {
+    /** Returns the number of calls of a class (-1: all) with an outcome that were due from one second to another. */
+    public long count(int classIndex, Outcome outcome, double fromS, double untilS) {
         long count = 0;
-        for (int k = 0; k < slices.length; k++) {
-            int last = (int) Math.min(slices[k].length, Math.round(until * 1_000 / SLICE_MS));
-            for (int s = (int) Math.round(from * 1_000 / SLICE_MS); s < last && (kind < 0 || kind == k); s++) {
-                count += slices[k][s][end.ordinal()];
+        for (int k = 0; k < outcomeCounts.length; k++) {
+            int endSlice = (int) Math.min(outcomeCounts[k].length, Math.round(untilS * 1_000 / SLICE_MS));
+            for (int s = (int) Math.round(fromS * 1_000 / SLICE_MS);
+                    s < endSlice && (classIndex < 0 || classIndex == k);
+                    s++) {
+                count += outcomeCounts[k][s][outcome.ordinal()];
             }
         }
         return count;
     }
 
-    /** Calls of a kind (-1: of all) due in a span of seconds. */
-    public long offered(int kind, double from, double until) {
+    /** Returns the number of calls of a class (-1: all) that were due in a span of seconds. */
+    public long offered(int classIndex, double fromS, double untilS) {
         long count = 0;
-        for (Outcome end : Outcome.values()) {
-            count += count(kind, end, from, until);
+        for (Outcome outcome : Outcome.values()) {
+            count += count(classIndex, outcome, fromS, untilS);
         }
         return count;
     }
 
-    /** Calls that stood, in their aim or late. */
-    public long established(int kind, double from, double until) {
-        return count(kind, Outcome.IN_AIM, from, until) + count(kind, Outcome.LATE, from, until);
+    /** Returns the number of calls of a class (-1: all) that were established, within their aim or late. */
+    public long established(int classIndex, double fromS, double untilS) {
+        return count(classIndex, Outcome.IN_AIM, fromS, untilS) + count(classIndex, Outcome.LATE, fromS, untilS);
     }
 
-    /** Worth earned over worth offered in a span of seconds; 1 where none was offered. */
-    public double worthShare(double from, double until) {
+    /** Returns the earned worth divided by the offered worth in a span of seconds; 1 if no call was offered. */
+    public double worthShare(double fromS, double untilS) {
         double offered = 0;
         double earned = 0;
         for (int k = 0; k < callerClasses.size(); k++) {
-            LoadPlan.CallerClass kind = callerClasses.get(k);
-            offered += kind.worth() * offered(k, from, until);
-            earned += kind.worth()
-                    * (count(k, Outcome.IN_AIM, from, until) + kind.lateShare() * count(k, Outcome.LATE, from, until));
+            LoadPlan.CallerClass callerClass = callerClasses.get(k);
+            offered += callerClass.worth() * offered(k, fromS, untilS);
+            earned += callerClass.worth()
+                    * (count(k, Outcome.IN_AIM, fromS, untilS)
+                            + callerClass.lateShare() * count(k, Outcome.LATE, fromS, untilS));
         }
         return offered == 0 ? 1 : earned / offered;
     }
 
     /**
-     * Seconds in which a dearer kind fared worse than a cheaper one by more than chance: a share of its calls that
-     * did not stand more than {@code margin} above the cheaper kind's. Kinds of under fifty calls are passed over.
+     * Returns the number of seconds in which a class of higher worth fared worse than one of lower worth: the share of
+     * its calls that were not established exceeded the other's by more than {@code margin}, which allows for chance. In
+     * a second with fewer than fifty calls of a class, the class counts as having lost none.
      */
     public int secondsWithPriorityInversion(double margin) {
         int inverted = 0;
-        int seconds = slices[0].length * SLICE_MS / 1_000;
+        int seconds = outcomeCounts[0].length * SLICE_MS / 1_000;
         for (int s = 0; s < seconds; s++) {
-            boolean any = false;
+            boolean found = false;
             for (int a = 0; a < callerClasses.size(); a++) {
                 for (int b = 0; b < callerClasses.size(); b++) {
-                    any |= callerClasses.get(a).worth() > callerClasses.get(b).worth()
-                            && lost(a, s) > lost(b, s) + margin;
+                    found |= callerClasses.get(a).worth() > callerClasses.get(b).worth()
+                            && lostShare(a, s) > lostShare(b, s) + margin;
                 }
             }
-            inverted += any ? 1 : 0;
+            inverted += found ? 1 : 0;
         }
         return inverted;
     }
 
-    private double lost(int kind, int second) {
-        long offered = offered(kind, second, second + 1);
-        return offered < 50 ? 0 : 1 - established(kind, second, second + 1) / (double) offered;
+    private double lostShare(int classIndex, int second) {
+        long offered = offered(classIndex, second, second + 1);
+        return offered < 50 ? 0 : 1 - established(classIndex, second, second + 1) / (double) offered;
     }
 
-    /** Seconds after {@code from} until every slice has this share of its calls standing; NaN where it never does. */
-    public double recoveryTimeS(double from, double share) {
-        int last = slices[0].length * SLICE_MS / 1_000;
-        double back = 0;
-        for (double s = from; s < last; s += SLICE_MS / 1_000.0) {
+    /**
+     * Returns the time in seconds after {@code fromS} from which on every slice has at least this share of its calls
+     * established; NaN if the load ends before.
+     */
+    public double recoveryTimeS(double fromS, double share) {
+        int endS = outcomeCounts[0].length * SLICE_MS / 1_000;
+        double recoveredAfterS = 0;
+        for (double s = fromS; s < endS; s += SLICE_MS / 1_000.0) {
             long offered = offered(-1, s, s + SLICE_MS / 1_000.0);
             if (offered > 0 && established(-1, s, s + SLICE_MS / 1_000.0) < share * offered) {
-                back = s + SLICE_MS / 1_000.0 - from;
+                recoveredAfterS = s + SLICE_MS / 1_000.0 - fromS;
             }
         }
-        return back >= last - from - 0.2 ? Double.NaN : Math.round(back * 10) / 10.0;
+        return recoveredAfterS >= endS - fromS - 0.2 ? Double.NaN : Math.round(recoveredAfterS * 10) / 10.0;
     }
 
-    /** Delays of the calls of a kind that stood, in microseconds. */
-    public Histogram establishedDelaysUs(int kind) {
-        return establishedDelaysUs.get(kind);
+    /** Returns the delays of the established calls of a class, in microseconds. */
+    public Histogram establishedDelaysUs(int classIndex) {
+        return establishedDelaysUs.get(classIndex);
     }
 
-    /** Delays of all answers, in microseconds. */
+    /** Returns the delays of all answers, in microseconds. */
     public Histogram answerDelaysUs() {
-        return answered;
+        return answerDelaysUs;
     }
 
-    /** Questions that the senders themselves sent over a millisecond late. */
-    public long sentLateCount() {
-        return sentLate;
+    /** Returns the number of queries that the senders sent more than a millisecond late. */
+    public long lateSendCount() {
+        return lateSends;
     }
 
-    /** The classes of caller. */
+    /** Returns the classes of callers. */
     public List<LoadPlan.CallerClass> callerClasses() {
         return callerClasses;
     }
 
-    /** The length of the series, in seconds. */
+    /** Returns the time covered by the slices, in seconds. */
     public double durationS() {
-        return slices[0].length * SLICE_MS / 1_000.0;
+        return outcomeCounts[0].length * SLICE_MS / 1_000.0;
     }
 
-    /** Sums for a report, over a span of seconds. */
-    public Map<String, Object> report(double from, double until) {
+    /** Returns rates, worth and counts over a span of seconds, by the keys of the JSON report. */
+    public Map<String, Object> report(double fromS, double untilS) {
         Map<String, Object> report = new LinkedHashMap<>();
-        report.put("offeredPerS", Math.round(offered(-1, from, until) / (until - from)));
-        report.put("stoodPerS", Math.round(established(-1, from, until) / (until - from)));
-        report.put("worthShare", round(worthShare(from, until)));
+        report.put("offeredPerS", Math.round(offered(-1, fromS, untilS) / (untilS - fromS)));
+        report.put("stoodPerS", Math.round(established(-1, fromS, untilS) / (untilS - fromS)));
+        report.put("worthShare", round(worthShare(fromS, untilS)));
         for (int k = 0; k < callerClasses.size(); k++) {
-            Map<String, Object> of = new LinkedHashMap<>();
-            of.put("offered", offered(k, from, until));
-            for (Outcome end : Outcome.values()) {
-                of.put(end.toString().toLowerCase(java.util.Locale.ROOT), count(k, end, from, until));
+            Map<String, Object> classReport = new LinkedHashMap<>();
+            classReport.put("offered", offered(k, fromS, untilS));
+            for (Outcome outcome : Outcome.values()) {
+                classReport.put(
+                        outcome.toString().toLowerCase(java.util.Locale.ROOT), count(k, outcome, fromS, untilS));
             }
-            report.put(callerClasses.get(k).name(), of);
+            report.put(callerClasses.get(k).name(), classReport);
         }
         return report;
     }
 
-    static double round(double x) {
-        return Math.round(x * 10_000) / 10_000.0;
+    static double round(double value) {
+        return Math.round(value * 10_000) / 10_000.0;
     }
 }
--- a/src/main/java/damsonseam/load/LoadRunner.java
+++ b/src/main/java/damsonseam/load/LoadRunner.java
@@ -4,25 +4,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Runs loads, and finds the rate at which a front is saturated. */
+/** Runs loads and finds the rate at which a front is saturated. Each run uses its own sender threads. */
 public final class LoadRunner {
-    private static final int STEPS = 4;
-    private static final double FEWEST_STAND = 0.99;
-    private static final long START_NS = 20_000_000;
+    private static final int BISECTION_STEPS = 4;
+    private static final double MIN_ESTABLISHED_SHARE = 0.99;
+    private static final long START_DELAY_NS = 20_000_000;
 
     private LoadRunner() {}
 
-    /** Runs one load to its end, the patience of its last callers included. */
+    /** Runs a load and returns its result after the last callers were answered or ran out of patience. */
     public static LoadResult run(LoadPlan plan) throws IOException, InterruptedException {
-        double peak = 0;
+        double peakPerS = 0;
         for (double t = 0; t <= plan.durationS(); t += plan.durationS() / 1_000) {
-            peak = Math.max(peak, plan.rateProfile().rateAt(t));
+            peakPerS = Math.max(peakPerS, plan.rateProfile().rateAt(t));
         }
         List<LoadSender> senders = new ArrayList<>();
         List<Thread> threads = new ArrayList<>();
-        long origin = System.nanoTime() + START_NS;
+        long originNs = System.nanoTime() + START_DELAY_NS;
         for (int i = 0; i < plan.senderThreads(); i++) {
-            LoadSender sender = new LoadSender(plan, i, origin, peak);
+            LoadSender sender = new LoadSender(plan, i, originNs, peakPerS);
             senders.add(sender);
             threads.add(new Thread(sender, "load-" + i));
         }
@@ -30,39 +30,41 @@
         for (Thread t : threads) {
             t.join();
         }
-        LoadResult all = new LoadResult(plan.callerClasses(), plan.durationS());
+        LoadResult total = new LoadResult(plan.callerClasses(), plan.durationS());
         for (LoadSender sender : senders) {
-            all.add(sender.result());
+            total.merge(sender.result());
         }
-        return all;
+        return total;
     }
 
     /**
-     * The highest steady rate at which 99 of 100 calls stand: doubled from {@code from} calls a second until too
-     * many do not, then halved in between; one bad try of two is forgiven, machines have hiccups. Each try takes
-     * {@code seconds}; the first second of each is not counted.
+     * Finds the highest steady rate, in calls per second, at which 99 % of the calls are established. The rate is
+     * doubled from {@code startPerS} until it is not sustained, and then found by bisection. A rate is tried a second
+     * time before it counts as not sustained, since a short disturbance of the machine can fail a trial. Each trial
+     * takes {@code durationS} after a first second that is not counted.
      */
-    public static double findSaturationRate(LoadPlan plan, double from, double seconds)
+    public static double findSaturationRate(LoadPlan plan, double startPerS, double durationS)
             throws IOException, InterruptedException {
-        double good = 0;
-        double bad = from;
-        while (holds(plan, bad, seconds) || holds(plan, bad, seconds)) {
-            good = bad;
-            bad *= 2;
+        double sustainedPerS = 0;
+        double unsustainedPerS = startPerS;
+        while (sustains(plan, unsustainedPerS, durationS) || sustains(plan, unsustainedPerS, durationS)) {
+            sustainedPerS = unsustainedPerS;
+            unsustainedPerS *= 2;
         }
-        for (int i = 0; i < STEPS; i++) {
-            double middle = (good + bad) / 2;
-            if (holds(plan, middle, seconds) || holds(plan, middle, seconds)) {
-                good = middle;
+        for (int i = 0; i < BISECTION_STEPS; i++) {
+            double middlePerS = (sustainedPerS + unsustainedPerS) / 2;
+            if (sustains(plan, middlePerS, durationS) || sustains(plan, middlePerS, durationS)) {
+                sustainedPerS = middlePerS;
             } else {
-                bad = middle;
+                unsustainedPerS = middlePerS;
             }
         }
-        return good;
+        return sustainedPerS;
     }
 
-    private static boolean holds(LoadPlan plan, double perS, double seconds) throws IOException, InterruptedException {
-        LoadResult result = run(plan.withRateProfile(RateProfile.steady(perS), seconds + 1));
-        return result.established(-1, 1, seconds + 1) >= FEWEST_STAND * result.offered(-1, 1, seconds + 1);
+    private static boolean sustains(LoadPlan plan, double callsPerS, double durationS)
+            throws IOException, InterruptedException {
+        LoadResult result = run(plan.withRateProfile(RateProfile.steady(callsPerS), durationS + 1));
+        return result.established(-1, 1, durationS + 1) >= MIN_ESTABLISHED_SHARE * result.offered(-1, 1, durationS + 1);
     }
 }
--- a/src/main/java/damsonseam/load/LoadSender.java
+++ b/src/main/java/damsonseam/load/LoadSender.java
@@ -23,128 +23,134 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 
-/** One thread of a load: sends what is due, reads what has come, and gives up what was waited for long enough. */
+/**
+ * One thread of a load. It sends the queries that are due, reads the answers that have arrived, and abandons the
+ * queries whose callers have run out of patience. Each sender has its own sockets and result; {@link #result()} may be
+ * called after the thread has ended.
+ */
 final class LoadSender implements Runnable {
-    private static final int IDS = 1 << 16;
-    /** Questions out on one socket at most, well below the ids, so that an id does not come back too soon. */
-    private static final int OUT_PER_SOCKET = 20_000;
+    private static final int ID_COUNT = 1 << 16;
+    /** Well below the number of IDs, so that an ID is not reused while a late answer to it may still arrive. */
+    private static final int MAX_PENDING_PER_SOCKET = 20_000;
 
-    private static final int MOST_SOCKETS = 64;
-    private static final int SENT_AT_ONCE = 32;
-    private static final int BUFFER = 4 << 20;
-    private static final int TAIL_DIGITS = 9;
-    private static final double LATE_MS = 1;
-    private static final double MS = 1e6;
+    private static final int MAX_SOCKETS = 64;
+    private static final int MAX_MESSAGES_PER_PASS = 32;
+    private static final int RECEIVE_BUFFER_BYTES = 4 << 20;
+    private static final int DIGITS_AFTER_PREFIX = 9;
+    private static final double LATE_SEND_MS = 1;
+    private static final double NS_PER_MS = 1e6;
 
     private final LoadPlan plan;
-    private final double part;
-    private final long origin;
+    private final double threadShare;
+    private final long originNs;
     private final SplittableRandom random;
     private final LoadResult result;
     private final List<Socket> sockets = new ArrayList<>();
-    private final byte[][] templates;
-    private final ByteBuffer in = ByteBuffer.allocateDirect(2_048);
-    private final ByteBuffer out = ByteBuffer.allocateDirect(2_048);
+    private final byte[][] queryTemplates;
+    private final ByteBuffer receiveBuffer = ByteBuffer.allocateDirect(2_048);
+    private final ByteBuffer sendBuffer = ByteBuffer.allocateDirect(2_048);
     private final Selector selector = Selector.open();
-    private final double mostPatience;
-    private final double shares;
+    private final double maxPatienceMs;
+    private final double totalShare;
     private int nextSocket;
     private long sequence;
-    private IOException failed;
+    private IOException failure;
 
-    /** One socket with the questions that are out on it, by id. */
+    /** A socket and its pending queries by DNS message ID; the due time is NaN if there is no query with the ID. */
     private static final class Socket {
         final DatagramChannel channel;
-        final double[] dueAt = new double[IDS];
-        final byte[] kind = new byte[IDS];
+        final double[] dueAtMs = new double[ID_COUNT];
+        final byte[] classIndex = new byte[ID_COUNT];
         int nextId = 1;
-        int oldest = 1;
+        int oldestId = 1;
 
         Socket(DatagramChannel channel) {
             this.channel = channel;
-            java.util.Arrays.fill(dueAt, Double.NaN);
+            java.util.Arrays.fill(dueAtMs, Double.NaN);
         }
     }
 
-    LoadSender(LoadPlan plan, int ordinal, long originNs, double peakPerS) throws IOException {
+    LoadSender(LoadPlan plan, int threadIndex, long originNs, double peakPerS) throws IOException {
         this.plan = plan;
-        part = 1.0 / plan.senderThreads();
-        origin = originNs;
-        random = new SplittableRandom(plan.seed() * 31 + ordinal);
+        threadShare = 1.0 / plan.senderThreads();
+        this.originNs = originNs;
+        random = new SplittableRandom(plan.seed() * 31 + threadIndex);
         result = new LoadResult(plan.callerClasses(), plan.durationS());
-        mostPatience = plan.callerClasses().stream()
+        maxPatienceMs = plan.callerClasses().stream()
                 .mapToDouble(LoadPlan.CallerClass::patienceMs)
                 .max()
                 .orElse(1);
-        shares = plan.callerClasses().stream()
+        totalShare = plan.callerClasses().stream()
                 .mapToDouble(LoadPlan.CallerClass::share)
                 .sum();
-        double out = peakPerS * part * mostPatience / 1_000;
-        int count = (int) Math.max(1, Math.min(MOST_SOCKETS, Math.ceil(out / OUT_PER_SOCKET)));
-        count = Math.max(
-                count,
+        double pendingQueries = peakPerS * threadShare * maxPatienceMs / 1_000;
+        int socketCount = (int) Math.max(1, Math.min(MAX_SOCKETS, Math.ceil(pendingQueries / MAX_PENDING_PER_SOCKET)));
+        socketCount = Math.max(
+                socketCount,
                 Math.max(
                         plan.fronts().size(),
                         (plan.sourceAddresses() + plan.senderThreads() - 1) / plan.senderThreads()));
-        for (int i = 0; i < count; i++) {
-            int sender = (ordinal + i * plan.senderThreads()) % plan.sourceAddresses();
+        for (int i = 0; i < socketCount; i++) {
+            int addressIndex = (threadIndex + i * plan.senderThreads()) % plan.sourceAddresses();
             DatagramChannel channel = DatagramChannel.open();
             channel.configureBlocking(false);
-            channel.setOption(StandardSocketOptions.SO_RCVBUF, BUFFER);
-            byte[] from = {127, 0, 0, (byte) (1 + sender)};
-            channel.bind(new InetSocketAddress(InetAddress.getByAddress(from), 0));
+            channel.setOption(StandardSocketOptions.SO_RCVBUF, RECEIVE_BUFFER_BYTES);
+            byte[] sourceAddress = {127, 0, 0, (byte) (1 + addressIndex)};
+            channel.bind(new InetSocketAddress(InetAddress.getByAddress(sourceAddress), 0));
             channel.connect(plan.fronts().get(i % plan.fronts().size()));
             Socket socket = new Socket(channel);
             channel.register(selector, SelectionKey.OP_READ, socket);
             sockets.add(socket);
         }
-        templates = plan.callerClasses().stream().map(this::template).toArray(byte[][]::new);
+        queryTemplates = plan.callerClasses().stream().map(this::queryTemplate).toArray(byte[][]::new);
     }
 
-    private byte[] template(LoadPlan.CallerClass kind) {
-        Message question = new Message(0);
-        question.addRecord(
+    private byte[] queryTemplate(LoadPlan.CallerClass callerClass) {
+        Message query = new Message(0);
+        query.addRecord(
                 Record.newRecord(
-                        E164Name.toName(kind.prefix() + "0".repeat(TAIL_DIGITS), E164Name.parseSuffix(plan.suffix())),
+                        E164Name.toName(
+                                callerClass.prefix() + "0".repeat(DIGITS_AFTER_PREFIX),
+                                E164Name.parseSuffix(plan.suffix())),
                         Type.NAPTR,
                         DClass.IN),
                 Section.QUESTION);
-        question.addRecord(
+        query.addRecord(
                 new OPTRecord(
                         DnsCodec.MAX_UDP_RESPONSE_BYTES,
                         0,
                         0,
                         0,
-                        List.of(new EdnsCallOption(false, Math.round(kind.patienceMs())).toOption())),
+                        List.of(new EdnsCallOption(false, Math.round(callerClass.patienceMs())).toOption())),
                 Section.ADDITIONAL);
-        return question.toWire();
+        return query.toWire();
     }
 
-    private double now() {
-        return (System.nanoTime() - origin) / MS;
+    private double nowMs() {
+        return (System.nanoTime() - originNs) / NS_PER_MS;
     }
 
     @Override
     public void run() {
         try {
-            double end = plan.durationS() * 1_000;
-            double due = plan.rateProfile().nextArrivalMs(0, mass());
-            while (now() < end + mostPatience && (now() < end || waiting())) {
-                double now = now();
+            double endMs = plan.durationS() * 1_000;
+            double dueMs = plan.rateProfile().nextArrivalMs(0, drawExpectedCalls());
+            while (nowMs() < endMs + maxPatienceMs && (nowMs() < endMs || hasPendingQueries())) {
+                double nowMs = nowMs();
                 int sent = 0;
-                while (due <= now && due < end && sent++ < SENT_AT_ONCE) {
-                    send(due, now);
-                    due = plan.rateProfile().nextArrivalMs(due, mass());
+                while (dueMs <= nowMs && dueMs < endMs && sent++ < MAX_MESSAGES_PER_PASS) {
+                    send(dueMs, nowMs);
+                    dueMs = plan.rateProfile().nextArrivalMs(dueMs, drawExpectedCalls());
                 }
-                read();
-                giveUp(now);
+                readAnswers();
+                expireQueries(nowMs);
                 if (sent == 0) {
-                    LockSupport.parkNanos((long) Math.max(0, Math.min(50_000, (due - now()) * MS)));
+                    LockSupport.parkNanos((long) Math.max(0, Math.min(50_000, (dueMs - nowMs()) * NS_PER_MS)));
                 }
             }
-            giveUp(Double.POSITIVE_INFINITY);
+            expireQueries(Double.POSITIVE_INFINITY);
         } catch (IOException e) {
-            failed = e;
+            failure = e;
         } finally {
             close();
         }
@@ -153,141 +159,142 @@
     private void close() {
         try {
             selector.close();
-            for (Socket s : sockets) {
-                s.channel.close();
+            for (Socket socket : sockets) {
+                socket.channel.close();
             }
         } catch (IOException e) {
-            failed = failed == null ? e : failed;
+            failure = failure == null ? e : failure;
         }
     }
 
-    /** Calls of all threads until this one has its next. */
-    private double mass() {
-        return -Math.log(1 - random.nextDouble()) / part;
+    /** Draws the number of calls, expected over all threads, until this thread makes its next call. */
+    private double drawExpectedCalls() {
+        return -Math.log(1 - random.nextDouble()) / threadShare;
     }
 
-    private boolean waiting() {
-        return sockets.stream().anyMatch(s -> s.oldest != s.nextId);
+    private boolean hasPendingQueries() {
+        return sockets.stream().anyMatch(socket -> socket.oldestId != socket.nextId);
     }
 
-    private void send(double due, double now) throws IOException {
-        int kind = draw();
-        Socket s = sockets.get(nextSocket);
+    private void send(double dueMs, double nowMs) throws IOException {
+        int classIndex = drawClassIndex();
+        Socket socket = sockets.get(nextSocket);
         nextSocket = (nextSocket + 1) % sockets.size();
-        int id = s.nextId;
-        s.nextId = s.nextId % (IDS - 1) + 1;
-        if (!Double.isNaN(s.dueAt[id])) {
-            end(s, id, LoadResult.Outcome.UNANSWERED, now);
+        int id = socket.nextId;
+        socket.nextId = socket.nextId % (ID_COUNT - 1) + 1;
+        if (!Double.isNaN(socket.dueAtMs[id])) {
+            complete(socket, id, LoadResult.Outcome.UNANSWERED, nowMs);
         }
-        if (s.nextId == s.oldest) {
-            s.oldest = s.oldest % (IDS - 1) + 1;
+        if (socket.nextId == socket.oldestId) {
+            socket.oldestId = socket.oldestId % (ID_COUNT - 1) + 1;
         }
-        byte[] octets = templates[kind];
-        octets[0] = (byte) (id >>> 8);
-        octets[1] = (byte) id;
-        long tail = Math.floorMod(
+        byte[] query = queryTemplates[classIndex];
+        query[0] = (byte) (id >>> 8);
+        query[1] = (byte) id;
+        long numberIndex = Math.floorMod(
                 sequence++ * plan.senderThreads() + random.nextInt(plan.senderThreads()), plan.numbersPerClass());
-        // Two digits name the first choice, seven the caller; they are asked for in reverse, a label each.
-        long digits = tail % plan.firstChoices() * 10_000_000L + tail;
-        for (int i = 0; i < TAIL_DIGITS; i++) {
-            octets[DnsCodec.HEADER_BYTES + 2 * i + 1] = (byte) ('0' + digits % 10);
+        // Two digits select the first-choice calculator, seven the caller; ENUM has one label per digit, in reverse.
+        long digits = numberIndex % plan.firstChoices() * 10_000_000L + numberIndex;
+        for (int i = 0; i < DIGITS_AFTER_PREFIX; i++) {
+            query[DnsCodec.HEADER_BYTES + 2 * i + 1] = (byte) ('0' + digits % 10);
             digits /= 10;
         }
-        s.dueAt[id] = due;
-        s.kind[id] = (byte) kind;
-        if (now - due > LATE_MS) {
-            result.sentLate();
+        socket.dueAtMs[id] = dueMs;
+        socket.classIndex[id] = (byte) classIndex;
+        if (nowMs - dueMs > LATE_SEND_MS) {
+            result.recordLateSend();
         }
-        out.clear().put(octets).flip();
+        sendBuffer.clear().put(query).flip();
         try {
-            s.channel.write(out);
+            socket.channel.write(sendBuffer);
         } catch (PortUnreachableException e) {
-            // Nobody listens now; the call goes unanswered and the load goes on.
+            // The front is not listening: the call counts as unanswered and the load continues.
         }
     }
 
-    private int draw() {
-        double x = random.nextDouble() * shares;
+    private int drawClassIndex() {
+        double remaining = random.nextDouble() * totalShare;
         for (int k = 0; k < plan.callerClasses().size() - 1; k++) {
-            x -= plan.callerClasses().get(k).share();
-            if (x < 0) {
+            remaining -= plan.callerClasses().get(k).share();
+            if (remaining < 0) {
                 return k;
             }
         }
         return plan.callerClasses().size() - 1;
     }
 
-    /** Reads what has come; one look at all sockets, as a look at each costs more than the load itself. */
-    private void read() throws IOException {
+    /** Reads the answers that have arrived; a selector, since polling each socket costs more than the load itself. */
+    private void readAnswers() throws IOException {
         selector.selectNow(key -> {
             try {
-                read((Socket) key.attachment());
+                readAnswers((Socket) key.attachment());
             } catch (IOException e) {
-                failed = e;
+                failure = e;
             }
         });
-        if (failed != null) {
-            throw failed;
+        if (failure != null) {
+            throw failure;
         }
     }
 
-    private void read(Socket s) throws IOException {
-        for (int i = 0; i < SENT_AT_ONCE; i++) {
-            in.clear();
+    private void readAnswers(Socket socket) throws IOException {
+        for (int i = 0; i < MAX_MESSAGES_PER_PASS; i++) {
+            receiveBuffer.clear();
             try {
-                if (s.channel.read(in) <= 0) {
+                if (socket.channel.read(receiveBuffer) <= 0) {
                     break;
                 }
             } catch (PortUnreachableException e) {
-                // Nobody listens now: what is out goes unanswered.
+                // The front is not listening: the pending queries count as unanswered.
                 break;
             }
-            answered(s);
+            onAnswer(socket);
         }
     }
 
-    private void answered(Socket s) {
-        int id = in.position() < DnsCodec.HEADER_BYTES ? 0 : in.getShort(0) & 0xffff;
-        if (Double.isNaN(s.dueAt[id])) {
+    private void onAnswer(Socket socket) {
+        int id = receiveBuffer.position() < DnsCodec.HEADER_BYTES ? 0 : receiveBuffer.getShort(0) & 0xffff;
+        if (Double.isNaN(socket.dueAtMs[id])) {
             return;
         }
-        double now = now();
-        int rcode = in.get(3) & 0xf;
-        boolean stands = rcode == 0 && in.getShort(6) > 0;
-        boolean inAim =
-                now - s.dueAt[id] <= plan.callerClasses().get(s.kind[id]).aimMs();
-        end(
-                s,
+        double nowMs = nowMs();
+        int rcode = receiveBuffer.get(3) & 0xf;
+        boolean established = rcode == 0 && receiveBuffer.getShort(6) > 0;
+        boolean inAim = nowMs - socket.dueAtMs[id]
+                <= plan.callerClasses().get(socket.classIndex[id]).aimMs();
+        complete(
+                socket,
                 id,
-                stands
+                established
                         ? inAim ? LoadResult.Outcome.IN_AIM : LoadResult.Outcome.LATE
                         : rcode == 5 ? LoadResult.Outcome.REFUSED : LoadResult.Outcome.FAILED,
-                now);
+                nowMs);
     }
 
-    private void end(Socket s, int id, LoadResult.Outcome end, double now) {
-        result.recordOutcome(s.kind[id], s.dueAt[id], end, now - s.dueAt[id]);
-        s.dueAt[id] = Double.NaN;
+    private void complete(Socket socket, int id, LoadResult.Outcome outcome, double nowMs) {
+        result.recordOutcome(socket.classIndex[id], socket.dueAtMs[id], outcome, nowMs - socket.dueAtMs[id]);
+        socket.dueAtMs[id] = Double.NaN;
     }
 
-    private void giveUp(double now) {
-        for (Socket s : sockets) {
-            while (s.oldest != s.nextId) {
-                int id = s.oldest;
-                if (!Double.isNaN(s.dueAt[id])) {
-                    if (now - s.dueAt[id] < plan.callerClasses().get(s.kind[id]).patienceMs()) {
+    private void expireQueries(double nowMs) {
+        for (Socket socket : sockets) {
+            while (socket.oldestId != socket.nextId) {
+                int id = socket.oldestId;
+                if (!Double.isNaN(socket.dueAtMs[id])) {
+                    if (nowMs - socket.dueAtMs[id]
+                            < plan.callerClasses().get(socket.classIndex[id]).patienceMs()) {
                         break;
                     }
-                    end(s, id, LoadResult.Outcome.UNANSWERED, now);
+                    complete(socket, id, LoadResult.Outcome.UNANSWERED, nowMs);
                 }
-                s.oldest = s.oldest % (IDS - 1) + 1;
+                socket.oldestId = socket.oldestId % (ID_COUNT - 1) + 1;
             }
         }
     }
 
     LoadResult result() throws IOException {
-        if (failed != null) {
-            throw failed;
+        if (failure != null) {
+            throw failure;
         }
         return result;
     }
--- a/src/main/java/damsonseam/load/RateProfile.java
+++ b/src/main/java/damsonseam/load/RateProfile.java
@@ -3,108 +3,113 @@
 import java.util.List;
 
 /**
- * Calls a second over time, in straight lines between points; arrivals are drawn from it as a Poisson process. The
- * next arrival is where the integral of the rate has grown by a unit exponential, so that a rate which rises a
- * hundredfold in an instant is followed in that instant.
+ * The arrival rate of a load over time, linear between points. Arrivals form an inhomogeneous Poisson process: the next
+ * arrival is at the time at which the integral of the rate has grown by an exponential variate of mean 1, so that a
+ * sudden hundredfold rise of the rate takes effect at once. Immutable.
  */
 public final class RateProfile {
-    private static final double S = 1_000;
+    private static final double MS_PER_S = 1_000;
 
     private final List<Point> points;
 
-    /** A rate, in calls a second, at a time in seconds. */
+    /** A rate in calls per second at a time in seconds. */
     public record Point(double atS, double callsPerS) {}
 
-    /** A profile through these points, in order of time; before the first and after the last the rate is theirs. */
+    /** Creates a profile through points in order of time; the rate is constant before the first and after the last. */
     public RateProfile(List<Point> points) {
         if (points.isEmpty()) {
-            throw new IllegalArgumentException("a profile needs one point at least");
+            throw new IllegalArgumentException("a rate profile needs at least one point");
         }
         for (int i = 0; i < points.size(); i++) {
             if (!(points.get(i).callsPerS() >= 0)
                     || i > 0 && points.get(i).atS() < points.get(i - 1).atS()) {
-                throw new IllegalArgumentException("point " + i + " of the profile: expected a rate of 0 or more, not "
-                        + "earlier than the one before");
+                throw new IllegalArgumentException(
+                        "point " + i + " of the rate profile: expected a rate of 0 or more and a time not "
+                                + "before that of the previous point");
             }
         }
         this.points = List.copyOf(points);
     }
 
-    /** The same rate at all times. */
-    public static RateProfile steady(double perS) {
-        return new RateProfile(List.of(new Point(0, perS)));
+    /** Returns a profile with the same rate at all times. */
+    public static RateProfile steady(double callsPerS) {
+        return new RateProfile(List.of(new Point(0, callsPerS)));
     }
 
-    /** A rate that is {@code factor} times as high from {@code from} to {@code until} seconds. */
-    public static RateProfile burst(double perS, double factor, double from, double until) {
+    /** Returns a profile whose rate is {@code factor} times as high from {@code fromS} to {@code untilS} seconds. */
+    public static RateProfile burst(double callsPerS, double factor, double fromS, double untilS) {
         return new RateProfile(List.of(
-                new Point(0, perS),
-                new Point(from, perS),
-                new Point(from, factor * perS),
-                new Point(until, factor * perS),
-                new Point(until, perS)));
+                new Point(0, callsPerS),
+                new Point(fromS, callsPerS),
+                new Point(fromS, factor * callsPerS),
+                new Point(untilS, factor * callsPerS),
+                new Point(untilS, callsPerS)));
     }
 
     /**
-     * A publication day in {@code seconds}: a morning at a third, the steep rise when the list is out, a peak of
-     * {@code factor} times the ordinary rate, and a long way back.
+     * Returns the profile of a publication day, compressed into {@code durationS}: a morning at a third of the ordinary
+     * rate, a steep rise when the list is published, a peak of {@code factor} times the ordinary rate, and a slow
+     * decline.
      */
-    public static RateProfile publication(double perS, double factor, double seconds) {
+    public static RateProfile publication(double callsPerS, double factor, double durationS) {
         return new RateProfile(List.of(
-                new Point(0, perS / 3),
-                new Point(0.2 * seconds, perS / 2),
-                new Point(0.25 * seconds, factor * perS),
-                new Point(0.4 * seconds, factor * perS),
-                new Point(0.55 * seconds, Math.max(1, factor / 2) * perS),
-                new Point(0.8 * seconds, perS),
-                new Point(seconds, perS / 3)));
+                new Point(0, callsPerS / 3),
+                new Point(0.2 * durationS, callsPerS / 2),
+                new Point(0.25 * durationS, factor * callsPerS),
+                new Point(0.4 * durationS, factor * callsPerS),
+                new Point(0.55 * durationS, Math.max(1, factor / 2) * callsPerS),
+                new Point(0.8 * durationS, callsPerS),
+                new Point(durationS, callsPerS / 3)));
     }
 
-    /** The rate at a time, in calls a second; a step counts from its instant on. */
-    public double rateAt(double seconds) {
-        Point before = points.get(0);
-        for (Point p : points) {
-            if (p.atS() > seconds) {
-                double span = p.atS() - before.atS();
-                return span <= 0
-                        ? before.callsPerS()
-                        : before.callsPerS()
-                                + (p.callsPerS() - before.callsPerS()) * Math.max(0, seconds - before.atS()) / span;
+    /** Returns the rate at a time, in calls per second; at a step, the rate after the step. */
+    public double rateAt(double timeS) {
+        Point previous = points.get(0);
+        for (Point point : points) {
+            if (point.atS() > timeS) {
+                double segmentS = point.atS() - previous.atS();
+                return segmentS <= 0
+                        ? previous.callsPerS()
+                        : previous.callsPerS()
+                                + (point.callsPerS() - previous.callsPerS())
+                                        * Math.max(0, timeS - previous.atS())
+                                        / segmentS;
             }
-            before = p;
+            previous = point;
         }
-        return before.callsPerS();
+        return previous.callsPerS();
     }
 
     /**
-     * The time at which the integral from {@code fromMs} on reaches {@code mass} calls, in milliseconds; infinite
-     * where the rate stays 0.
+     * Returns the time at which the integral of the rate from {@code fromMs} on reaches {@code expectedCalls}, in
+     * milliseconds; infinite if the rate stays 0.
      */
-    public double nextArrivalMs(double fromMs, double mass) {
-        double t = fromMs / S;
-        double left = mass;
+    public double nextArrivalMs(double fromMs, double expectedCalls) {
+        double timeS = fromMs / MS_PER_S;
+        double remainingCalls = expectedCalls;
         for (int i = 0; i <= points.size(); i++) {
-            double end = i < points.size() ? points.get(i).atS() : Double.POSITIVE_INFINITY;
-            if (end <= t) {
+            double segmentEndS = i < points.size() ? points.get(i).atS() : Double.POSITIVE_INFINITY;
+            if (segmentEndS <= timeS) {
                 continue;
             }
-            double a = rateAt(t);
-            if (Double.isInfinite(end)) {
-                return a <= 0 ? Double.POSITIVE_INFINITY : (t + left / a) * S;
+            double startPerS = rateAt(timeS);
+            if (Double.isInfinite(segmentEndS)) {
+                return startPerS <= 0 ? Double.POSITIVE_INFINITY : (timeS + remainingCalls / startPerS) * MS_PER_S;
             }
-            // The rate at the end of the line, not behind a step that stands there.
-            double span = end - t;
-            double b = i == 0 ? a : points.get(i).callsPerS();
-            double whole = (a + b) / 2 * span;
-            if (whole >= left) {
-                double slope = (b - a) / span;
-                double x = Math.abs(slope) < 1e-9
-                        ? left / a
-                        : (-a + Math.sqrt(Math.max(0, a * a + 2 * slope * left))) / slope;
-                return (t + Math.min(span, x)) * S;
+            // The rate at the end of the segment, before a step at that time.
+            double segmentS = segmentEndS - timeS;
+            double endPerS = i == 0 ? startPerS : points.get(i).callsPerS();
+            double segmentCalls = (startPerS + endPerS) / 2 * segmentS;
+            if (segmentCalls >= remainingCalls) {
+                double slope = (endPerS - startPerS) / segmentS;
+                double offsetS = Math.abs(slope) < 1e-9
+                        ? remainingCalls / startPerS
+                        : (-startPerS + Math.sqrt(Math.max(0, startPerS * startPerS + 2 * slope * remainingCalls)))
+                                / slope;
+                return (timeS + Math.min(segmentS, offsetS)) * MS_PER_S;
             }
-            left -= whole;
-            t = end;
+            remainingCalls -= segmentCalls;
+            timeS = segmentEndS;
         }
         return Double.POSITIVE_INFINITY;
     }
--- a/src/main/java/damsonseam/load/package-info.java
+++ b/src/main/java/damsonseam/load/package-info.java
@@ -1,2 +1,2 @@
-/** Load on a front as many callers would put it there: open arrivals that wait for nobody, and what became of them. */
+/** The load generator: open arrivals of many independent callers to running fronts, and the outcomes of their calls. */
 package damsonseam.load;
