--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -80,12 +80,12 @@
         serverEndpoints = new ServerEndpoints(
                 loop,
                 callRegistry,
-                inviteParser.reportFields(),
+                inviteParser.loadReportParser(),
                 config.settings().connectTimeout().orElse(DEFAULT_CONNECT_TIMEOUT_MS),
                 maxServerConnections,
                 config.seed(),
                 moduleSettings.mayProbe().orElse(false));
-        // Callers that send set-ups need a third of the descriptors; the rest is for peers that only connect.
+        // Callers that send set-ups use up to a third of the descriptors; the rest is for peers that only connect.
         callerListener = new CallerListener(
                 loop,
                 inviteParser,
