--- a/src/main/java/damsonseam/config/Yaml.java
+++ b/src/main/java/damsonseam/config/Yaml.java
@@ -36,7 +36,7 @@
             }
             return parse(file.toString(), Files.readString(file, StandardCharsets.UTF_8), type);
         } catch (IOException e) {
-            throw new SettingsException(file + ": can't be read: " + e.getMessage());
+            throw new SettingsException(file + ": cannot be read: " + e.getMessage());
         }
     }
 
--- a/src/main/java/damsonseam/core/RouterPorts.java
+++ b/src/main/java/damsonseam/core/RouterPorts.java
@@ -15,7 +15,7 @@
     @FunctionalInterface
     public interface NumberLookup {
         /** Starts a lookup; {@link Router#lookupCompleted} must follow by {@code deadline}. */
-        void lookUp(long call, String number, double deadline);
+        void lookUp(long callId, String number, double deadline);
     }
 
     /** Signalling with the servers: set-ups, releases and probes. */
@@ -26,7 +26,8 @@
          * @param giveUpAt when the attempt will be given up
          * @return null if the set-up was sent, otherwise the reason; the server then certainly never received it
          */
-        SendFailure sendSetUp(double now, String server, long call, int attempt, double giveUpAt, CallRecord record);
+        SendFailure sendSetUp(
+                double now, String serverId, long callId, int attempt, double giveUpAt, CallRecord record);
 
         /**
          * Releases an attempt. {@link Router#releaseConfirmed} follows when the server has confirmed the release, which
@@ -35,10 +36,10 @@
          * @param timedOut whether the attempt is released because the server did not answer in time
          * @return when the release was sent, which may be later than {@code now}
          */
-        double sendRelease(double now, String server, long call, int attempt, boolean timedOut);
+        double sendRelease(double now, String serverId, long callId, int attempt, boolean timedOut);
 
         /** Sends a probe to a server; {@link Router#probeCompleted} must follow. */
-        void sendProbe(double now, String server);
+        void sendProbe(double now, String serverId);
     }
 
     /** The status and the reason reported for an attempt whose set-up could not be sent. */
--- a/src/main/java/damsonseam/day/ScenarioRun.java
+++ b/src/main/java/damsonseam/day/ScenarioRun.java
@@ -73,7 +73,7 @@
             AuditFolder.writeRunParameters(outFolder, peers.world(worldFronts));
             for (FrontServer front : fronts) {
                 if (!front.awaitReady(READY_TIMEOUT_MS)) {
-                    throw new IOException("a front was not ready within " + READY_TIMEOUT_MS + " ms");
+                    throw new IOException("front did not become ready within " + READY_TIMEOUT_MS + " ms");
                 }
             }
             try (FaultInjector faultInjector = new FaultInjector(scenario, peers, fronts)) {
--- a/src/main/java/damsonseam/dns/Resolver.java
+++ b/src/main/java/damsonseam/dns/Resolver.java
@@ -47,7 +47,7 @@
         void sendTcp(int authority, byte[] query);
 
         /** Reports the result of a lookup to the call that requested it. */
-        void onLookupComplete(double now, long call, LookupResult result);
+        void onLookupComplete(double now, long callId, LookupResult result);
     }
 
     /** Socket index of responses that arrive over TCP. */
@@ -85,7 +85,7 @@
 
     private record Query(int id, int authority, int socket, Name name, double sentAt) {}
 
-    private record WaitingCall(long call, double deadline) {}
+    private record WaitingCall(long callId, double deadline) {}
 
     /** One lookup: its outstanding queries and the calls that wait for its result. */
     private static final class Lookup {
@@ -148,35 +148,35 @@
     // ---- Queries ----------------------------------------------------------------------------------------
 
     @Override
-    public void lookUp(long call, String number, double deadline) {
+    public void lookUp(long callId, String number, double deadline) {
         LookupCache.CachedResult cached = cache.find(number, now);
         if (cached != null && cached.isFresh()) {
             counts.cacheHits++;
-            reportLater(call, cached.result());
+            reportLater(callId, cached.result());
             return;
         }
         LookupResult stale = cached == null ? null : cached.result();
         if (cached != null && cached.failedRecently()) {
             counts.staleResults += stale == null ? 0 : 1;
             counts.failedLookups += stale == null ? 1 : 0;
-            reportLater(call, stale == null ? LookupResult.UNAVAILABLE : stale);
+            reportLater(callId, stale == null ? LookupResult.UNAVAILABLE : stale);
             return;
         }
         Lookup lookup = lookups.get(number);
         if (lookup != null) {
             counts.coalesced++;
-            addWaitingCall(lookup, call, deadline);
+            addWaitingCall(lookup, callId, deadline);
             return;
         }
         if (lookups.size() >= limits.maxPendingLookups()) {
             counts.failedLookups++;
-            reportLater(call, stale == null ? LookupResult.UNAVAILABLE : stale);
+            reportLater(callId, stale == null ? LookupResult.UNAVAILABLE : stale);
             return;
         }
         lookup = new Lookup(number, authorities.count());
         lookup.staleResult = stale;
         lookups.put(number, lookup);
-        addWaitingCall(lookup, call, deadline);
+        addWaitingCall(lookup, callId, deadline);
         if (stale != null) {
             Lookup pending = lookup;
             lookup.staleTimer = timers.schedule(now + limits.staleAfterMs(), at -> {
@@ -187,14 +187,14 @@
         sendNextQuery(lookup);
     }
 
-    private void addWaitingCall(Lookup lookup, long call, double deadline) {
-        lookup.waitingCalls.add(new WaitingCall(call, deadline));
+    private void addWaitingCall(Lookup lookup, long callId, double deadline) {
+        lookup.waitingCalls.add(new WaitingCall(callId, deadline));
         lookup.deadline = Math.max(lookup.deadline, deadline);
     }
 
     /** Queues a known result: it must not be reported within the call of {@code lookUp}, but in the same iteration. */
-    private void reportLater(long call, LookupResult result) {
-        knownResults.add(() -> output.onLookupComplete(now, call, result));
+    private void reportLater(long callId, LookupResult result) {
+        knownResults.add(() -> output.onLookupComplete(now, callId, result));
     }
 
     /** Reports the results known without a query; called once per event-loop iteration, before the core acts. */
@@ -353,7 +353,7 @@
     private void succeed(Lookup lookup, LookupResult result, long ttlS) {
         cache.put(lookup.number, result, ttlS, now);
         remove(lookup);
-        lookup.waitingCalls.forEach(w -> output.onLookupComplete(now, w.call(), result));
+        lookup.waitingCalls.forEach(w -> output.onLookupComplete(now, w.callId(), result));
     }
 
     private void fail(Lookup lookup) {
@@ -362,8 +362,8 @@
         boolean hasStaleResult = lookup.staleResult != null;
         counts.staleResults += hasStaleResult ? lookup.waitingCalls.size() : 0;
         counts.failedLookups += hasStaleResult ? 0 : lookup.waitingCalls.size();
-        lookup.waitingCalls.forEach(w ->
-                output.onLookupComplete(now, w.call(), hasStaleResult ? lookup.staleResult : LookupResult.UNAVAILABLE));
+        lookup.waitingCalls.forEach(w -> output.onLookupComplete(
+                now, w.callId(), hasStaleResult ? lookup.staleResult : LookupResult.UNAVAILABLE));
     }
 
     /** Reports the stale result to the waiting calls; the lookup continues for the sake of later ones. */
@@ -371,7 +371,7 @@
         counts.staleResults += lookup.waitingCalls.size();
         List<WaitingCall> waitingCalls = List.copyOf(lookup.waitingCalls);
         lookup.waitingCalls.clear();
-        waitingCalls.forEach(w -> output.onLookupComplete(now, w.call(), lookup.staleResult));
+        waitingCalls.forEach(w -> output.onLookupComplete(now, w.callId(), lookup.staleResult));
     }
 
     private void remove(Lookup lookup) {
--- a/src/main/java/damsonseam/front/DatagramIntake.java
+++ b/src/main/java/damsonseam/front/DatagramIntake.java
@@ -162,8 +162,8 @@
                 .handler(new Handler());
         var bound = bootstrap.bind(address).await();
         if (!bound.isSuccess()) {
-            throw new BindException(
-                    "DNS over UDP on " + address + ": " + bound.cause().getMessage());
+            throw new BindException("cannot listen for DNS over UDP on " + address + ": "
+                    + bound.cause().getMessage());
         }
         channel = bound.channel();
         datagramChannel = openedChannel;
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -292,7 +292,7 @@
 
     /** Stops taking new calls, waits up to the drain limit until all open calls are answered, then closes the front. */
     public void drain() throws InterruptedException {
-        LOG.atInfo().addKeyValue("front", settings.front().name()).log("draining");
+        LOG.atInfo().addKeyValue("front", settings.front().name()).log("front stopping");
         callOnLoop(() -> {
             router.startDraining();
             dnsListener.stopAccepting();
--- a/src/main/java/damsonseam/front/ResolverSockets.java
+++ b/src/main/java/damsonseam/front/ResolverSockets.java
@@ -116,8 +116,8 @@
     }
 
     @Override
-    public void onLookupComplete(double now, long call, LookupResult candidates) {
-        router.lookupCompleted(now, call, candidates);
+    public void onLookupComplete(double now, long callId, LookupResult result) {
+        router.lookupCompleted(now, callId, result);
         loop.scheduleBatchEnd();
     }
 
--- a/src/main/java/damsonseam/front/StreamListener.java
+++ b/src/main/java/damsonseam/front/StreamListener.java
@@ -95,8 +95,8 @@
                 .bind(address)
                 .await();
         if (!bound.isSuccess()) {
-            throw new BindException(
-                    "DNS over TCP on " + address + ": " + bound.cause().getMessage());
+            throw new BindException("cannot listen for DNS over TCP on " + address + ": "
+                    + bound.cause().getMessage());
         }
         serverChannel = bound.channel();
     }
--- a/src/main/java/damsonseam/front/TrunkLink.java
+++ b/src/main/java/damsonseam/front/TrunkLink.java
@@ -123,12 +123,12 @@
         return channel != null && session.isUsable() && channel.isWritable();
     }
 
-    boolean setUp(long call, int attempt, String number, int category) {
-        return group.setUp(call, attempt, number, category);
+    boolean setUp(long callId, int attempt, String number, int category) {
+        return group.setUp(callId, attempt, number, category);
     }
 
-    void release(double now, long call, int attempt, int cause) {
-        group.release(now, call, attempt, cause);
+    void release(double now, long callId, int attempt, int cause) {
+        group.release(now, callId, attempt, cause);
     }
 
     void probe(double now) {
@@ -234,7 +234,7 @@
                     .addKeyValue("why", reason)
                     .addKeyValue("badMessages", badMessages)
                     .addKeyValue("confused", group.unexpectedMessages())
-                    .log("signalling closed");
+                    .log("signalling connection closed");
             closeLocally();
         }
 
@@ -242,7 +242,7 @@
         public void onActive() {
             reconnectDelayMs = INITIAL_RECONNECT_DELAY_MS;
             group.onConnectionUp(loop.now());
-            LOG.atInfo().addKeyValue("server", server.id()).log("signalling active");
+            LOG.atInfo().addKeyValue("server", server.id()).log("signalling connection active");
         }
 
         @Override
@@ -266,32 +266,32 @@
         }
 
         @Override
-        public void onAnswered(double now, long call, int attempt, ServerLoadReport report) {
-            router.callEstablished(now, call, attempt, report);
+        public void onAnswered(double now, long callId, int attempt, ServerLoadReport report) {
+            router.callEstablished(now, callId, attempt, report);
         }
 
         @Override
         public void onAttemptEnded(
                 double now,
-                long call,
+                long callId,
                 int attempt,
-                AttemptStatus result,
+                AttemptStatus status,
                 RejectReason reason,
-                OptionalDouble returnAdvice,
+                OptionalDouble retryAfterMs,
                 ServerLoadReport report) {
             if (closedLocally) {
                 loop.timers().schedule(now + settings.trunks().releaseWait().ms(), at -> {
-                    router.attemptEnded(at, call, attempt, result, reason, returnAdvice, report);
+                    router.attemptEnded(at, callId, attempt, status, reason, retryAfterMs, report);
                     loop.scheduleBatchEnd();
                 });
             } else {
-                router.attemptEnded(now, call, attempt, result, reason, returnAdvice, report);
+                router.attemptEnded(now, callId, attempt, status, reason, retryAfterMs, report);
             }
         }
 
         @Override
-        public void onReleaseComplete(double now, long call, int attempt) {
-            router.releaseConfirmed(now, call, attempt);
+        public void onReleaseComplete(double now, long callId, int attempt) {
+            router.releaseConfirmed(now, callId, attempt);
         }
     }
 
@@ -341,7 +341,7 @@
             LOG.atWarn()
                     .addKeyValue("server", server.id())
                     .addKeyValue("error", cause.toString())
-                    .log("signalling connection error");
+                    .log("server connection failed");
             closeLocally();
         }
     }
--- a/src/main/java/damsonseam/front/TrunkLinks.java
+++ b/src/main/java/damsonseam/front/TrunkLinks.java
@@ -65,32 +65,36 @@
 
     @Override
     public RouterPorts.SendFailure sendSetUp(
-            double now, String server, long call, int attempt, double until, CallRecord record) {
-        TrunkLink link = links.get(server);
+            double now, String serverId, long callId, int attempt, double giveUpAt, CallRecord record) {
+        TrunkLink link = links.get(serverId);
         if (link == null || !link.isUsable()) {
             return UNREACHABLE;
         }
-        return link.setUp(call, attempt, record.number(), ORDINARY_SUBSCRIBER) ? null : NO_LINE;
+        return link.setUp(callId, attempt, record.number(), ORDINARY_SUBSCRIBER) ? null : NO_LINE;
     }
 
     @Override
-    public double sendRelease(double now, String server, long call, int attempt, boolean timedOut) {
-        TrunkLink link = links.get(server);
+    public double sendRelease(double now, String serverId, long callId, int attempt, boolean timedOut) {
+        TrunkLink link = links.get(serverId);
         if (link != null) {
             link.release(
-                    now, call, attempt, timedOut ? IsupMessage.RECOVERY_ON_TIMER_EXPIRY : IsupMessage.NORMAL_CLEARING);
+                    now,
+                    callId,
+                    attempt,
+                    timedOut ? IsupMessage.RECOVERY_ON_TIMER_EXPIRY : IsupMessage.NORMAL_CLEARING);
             link.flush();
         }
         return loop.now();
     }
 
     @Override
-    public void sendProbe(double now, String server) {
-        TrunkLink link = links.get(server);
+    public void sendProbe(double now, String serverId) {
+        TrunkLink link = links.get(serverId);
         if (link != null && link.isUsable()) {
             link.probe(now);
         } else {
-            loop.timers().schedule(now, at -> router.probeCompleted(at, server, true, false, 0, ServerLoadReport.NONE));
+            loop.timers()
+                    .schedule(now, at -> router.probeCompleted(at, serverId, true, false, 0, ServerLoadReport.NONE));
         }
     }
 
--- a/src/main/java/damsonseam/node/NodeConfig.java
+++ b/src/main/java/damsonseam/node/NodeConfig.java
@@ -46,7 +46,7 @@
     public static NodeConfig read(Path file) throws SettingsException {
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
-                throw new SettingsException(file + ": more than " + MAX_FILE_BYTES + " bytes");
+                throw new SettingsException(file + ": larger than " + MAX_FILE_BYTES + " bytes");
             }
             return fromJson(new ObjectMapper().readTree(Files.readAllBytes(file)));
         } catch (IOException | IllegalArgumentException e) {
--- a/src/main/java/damsonseam/node/ServerEndpoint.java
+++ b/src/main/java/damsonseam/node/ServerEndpoint.java
@@ -100,16 +100,16 @@
         final NodeCall nodeCall;
         final long recordId;
         final int index;
-        final double deadlineMs;
+        final double giveUpAtMs;
         ServerConnection connection;
         boolean sent;
         double sentAtMs;
 
-        Attempt(NodeCall nodeCall, long recordId, int index, double deadlineMs) {
+        Attempt(NodeCall nodeCall, long recordId, int index, double giveUpAtMs) {
             this.nodeCall = nodeCall;
             this.recordId = recordId;
             this.index = index;
-            this.deadlineMs = deadlineMs;
+            this.giveUpAtMs = giveUpAtMs;
         }
 
         String key() {
@@ -373,8 +373,8 @@
     // ---- Attempts ---------------------------------------------------------------------------------------
 
     /** Starts an attempt, which may wait for a connection first; returns false if it cannot be sent. */
-    boolean setUp(NodeCall nodeCall, long recordId, int index, double deadlineMs) {
-        Attempt attempt = new Attempt(nodeCall, recordId, index, deadlineMs);
+    boolean setUp(NodeCall nodeCall, long recordId, int index, double giveUpAtMs) {
+        Attempt attempt = new Attempt(nodeCall, recordId, index, giveUpAtMs);
         if (!active || !tryAssignConnection(attempt)) {
             return false;
         }
@@ -428,7 +428,7 @@
         SipMessage invite = SipMessage.request(
                         SipMessage.INVITE, call.requestUri, call.callId, attempt.index + 1, call.offer)
                 .addHeader("X-Cos", call.className)
-                .addHeader("X-Timer-Ms", Long.toString(Math.max(1, (long) (attempt.deadlineMs - now()))));
+                .addHeader("X-Timer-Ms", Long.toString(Math.max(1, (long) (attempt.giveUpAtMs - now()))));
         if (call.legs != null) {
             invite.addHeader("X-Legs", call.legs);
         }
--- a/src/main/java/damsonseam/node/ServerEndpoints.java
+++ b/src/main/java/damsonseam/node/ServerEndpoints.java
@@ -148,10 +148,10 @@
 
     @Override
     public RouterPorts.SendFailure sendSetUp(
-            double now, String serverId, long recordId, int attemptIndex, double deadlineMs, CallRecord record) {
+            double now, String serverId, long recordId, int attemptIndex, double giveUpAt, CallRecord record) {
         ServerEndpoint endpoint = endpoints.get(serverId);
         NodeCall nodeCall = context.callRegistry().get(recordId);
-        return endpoint != null && nodeCall != null && endpoint.setUp(nodeCall, recordId, attemptIndex, deadlineMs)
+        return endpoint != null && nodeCall != null && endpoint.setUp(nodeCall, recordId, attemptIndex, giveUpAt)
                 ? null
                 : UNREACHABLE;
     }
--- a/src/main/java/damsonseam/ss7/TrunkGroup.java
+++ b/src/main/java/damsonseam/ss7/TrunkGroup.java
@@ -29,12 +29,12 @@
         void send(IsupMessage message);
 
         /** Called when an attempt was answered, by which its call is established. */
-        void onAnswered(double now, long call, int attempt, ServerLoadReport report);
+        void onAnswered(double now, long callId, int attempt, ServerLoadReport report);
 
         /** Called when the far end, or the loss of the connection, ended an attempt or released an established call. */
         void onAttemptEnded(
                 double now,
-                long call,
+                long callId,
                 int attempt,
                 AttemptStatus status,
                 RejectReason reason,
@@ -42,7 +42,7 @@
                 ServerLoadReport report);
 
         /** Called when the far end has confirmed the release of an attempt, has released it too, or is gone. */
-        void onReleaseComplete(double now, long call, int attempt);
+        void onReleaseComplete(double now, long callId, int attempt);
     }
 
     /**
@@ -67,16 +67,16 @@
     /** The state of a circuit that is in use; call and attempt are -1 if it carries none of this side. */
     private static final class BusyCircuit {
         final int circuit;
-        final long call;
+        final long callId;
         final int attempt;
         State state = State.SETTING_UP;
         TimerWheel.Timer timer;
         double releaseStartedAt;
         int cause;
 
-        BusyCircuit(int circuit, long call, int attempt) {
+        BusyCircuit(int circuit, long callId, int attempt) {
             this.circuit = circuit;
-            this.call = call;
+            this.callId = callId;
             this.attempt = attempt;
         }
     }
@@ -115,23 +115,23 @@
     // ---- Outgoing calls ---------------------------------------------------------------------------------
 
     /** Seizes a circuit and sends an IAM; returns false if no circuit was idle. */
-    public boolean setUp(long call, int attempt, String number, int category) {
+    public boolean setUp(long callId, int attempt, String number, int category) {
         int circuit = circuits.seize();
         if (circuit == 0) {
             return false;
         }
-        BusyCircuit busy = new BusyCircuit(circuit, call, attempt);
+        BusyCircuit busy = new BusyCircuit(circuit, callId, attempt);
         busyCircuits[circuit] = busy;
-        circuitsByCall.put(call, busy);
-        out.send(IsupMessages.initialAddress(circuit, number, category, call, pointCode));
+        circuitsByCall.put(callId, busy);
+        out.send(IsupMessages.initialAddress(circuit, number, category, callId, pointCode));
         return true;
     }
 
     /** Releases the circuit of an attempt, for which only {@link Output#onReleaseComplete} is called from then on. */
-    public void release(double now, long call, int attempt, int cause) {
-        BusyCircuit busy = circuitsByCall.get(call);
+    public void release(double now, long callId, int attempt, int cause) {
+        BusyCircuit busy = circuitsByCall.get(callId);
         if (busy != null && busy.attempt == attempt) {
-            circuitsByCall.remove(call);
+            circuitsByCall.remove(callId);
             startRelease(busy, cause, now);
         }
     }
@@ -206,13 +206,13 @@
             circuitsToReset.set(circuit);
             boolean carriesCall = busy.state == State.SETTING_UP || busy.state == State.ANSWERED;
             if (busy.state == State.RELEASING) {
-                out.onReleaseComplete(now, busy.call, busy.attempt);
+                out.onReleaseComplete(now, busy.callId, busy.attempt);
             }
             busy.state = State.RELEASING;
-            if (carriesCall && circuitsByCall.remove(busy.call) != null) {
+            if (carriesCall && circuitsByCall.remove(busy.callId) != null) {
                 out.onAttemptEnded(
                         now,
-                        busy.call,
+                        busy.callId,
                         busy.attempt,
                         AttemptStatus.RESET,
                         RejectReason.NONE,
@@ -284,7 +284,7 @@
             handleProgress(null, message.circuit(), now);
         } else if (busy.state == State.SETTING_UP) {
             busy.state = State.ANSWERED;
-            out.onAnswered(now, busy.call, busy.attempt, LoadReportParameter.decode(message));
+            out.onAnswered(now, busy.callId, busy.attempt, LoadReportParameter.decode(message));
         } else {
             lateAnswers++;
         }
@@ -299,16 +299,16 @@
         if (busy.state == State.RELEASING) {
             // Both ends have sent REL: the release of this end is complete as well (Q.764 2.3.1 e).
             makeIdle(busy, now);
-            out.onReleaseComplete(now, busy.call, busy.attempt);
+            out.onReleaseComplete(now, busy.callId, busy.attempt);
             return;
         }
         boolean answered = busy.state == State.ANSWERED;
-        circuitsByCall.remove(busy.call);
+        circuitsByCall.remove(busy.callId);
         makeIdle(busy, now);
         int cause = qualifiedCause(message);
         out.onAttemptEnded(
                 now,
-                busy.call,
+                busy.callId,
                 busy.attempt,
                 attemptStatus(cause, answered),
                 rejectReason(cause, answered),
@@ -357,17 +357,17 @@
         }
         if (busy.state == State.RELEASING || busy.state == State.RESETTING) {
             makeIdle(busy, now);
-            out.onReleaseComplete(now, busy.call, busy.attempt);
+            out.onReleaseComplete(now, busy.callId, busy.attempt);
             return;
         }
         // RLC without REL: the far end has released the call, so it is reported as ended and the circuit is reset.
-        circuitsByCall.remove(busy.call);
+        circuitsByCall.remove(busy.callId);
         busy.state = State.RELEASING;
         circuitsToReset.set(circuit);
         sendPendingResets(now);
         out.onAttemptEnded(
                 now,
-                busy.call,
+                busy.callId,
                 busy.attempt,
                 AttemptStatus.RESET,
                 RejectReason.NONE,
@@ -394,13 +394,13 @@
             return;
         }
         boolean carriesCall = (busy.state == State.SETTING_UP || busy.state == State.ANSWERED)
-                && circuitsByCall.remove(busy.call) != null;
+                && circuitsByCall.remove(busy.callId) != null;
         makeIdle(busy, now);
-        out.onReleaseComplete(now, busy.call, busy.attempt);
+        out.onReleaseComplete(now, busy.callId, busy.attempt);
         if (carriesCall) {
             out.onAttemptEnded(
                     now,
-                    busy.call,
+                    busy.callId,
                     busy.attempt,
                     AttemptStatus.RESET,
                     RejectReason.NONE,
@@ -439,11 +439,11 @@
             }
             // The far end controls this circuit: the attempt of this side never ran, and the call of the far end is
             // refused.
-            circuitsByCall.remove(busy.call);
+            circuitsByCall.remove(busy.callId);
             startRelease(busy, IsupMessage.NO_CIRCUIT_AVAILABLE, now);
             out.onAttemptEnded(
                     now,
-                    busy.call,
+                    busy.callId,
                     busy.attempt,
                     AttemptStatus.FULL,
                     RejectReason.NO_LINE,
--- a/src/test/java/damsonseam/config/SettingsTest.java
+++ b/src/test/java/damsonseam/config/SettingsTest.java
@@ -65,7 +65,7 @@
         String message = assertThrows(
                         SettingsException.class, () -> Yaml.read(Path.of("no/such.yaml"), FrontSettings.class))
                 .getMessage();
-        assertTrue(message.startsWith("no/such.yaml: can't be read"), message);
+        assertTrue(message.startsWith("no/such.yaml: cannot be read"), message);
         assertEquals(1, message.lines().count());
     }
 
--- a/src/test/java/damsonseam/core/RouterTest.java
+++ b/src/test/java/damsonseam/core/RouterTest.java
@@ -104,19 +104,19 @@
 
     @Override
     public RouterPorts.SendFailure sendSetUp(
-            double now, String server, long call, int attempt, double giveUpAt, CallRecord record) {
-        sent.add(call);
+            double now, String serverId, long callId, int attempt, double giveUpAt, CallRecord record) {
+        sent.add(callId);
         return null;
     }
 
     @Override
-    public double sendRelease(double now, String server, long call, int attempt, boolean timedOut) {
-        timers.schedule(now + 2, at -> router.releaseConfirmed(at, call, attempt));
+    public double sendRelease(double now, String serverId, long callId, int attempt, boolean timedOut) {
+        timers.schedule(now + 2, at -> router.releaseConfirmed(at, callId, attempt));
         return now;
     }
 
     @Override
-    public void sendProbe(double now, String server) {}
+    public void sendProbe(double now, String serverId) {}
 
     @Override
     public void requestServerList() {}
--- a/src/test/java/damsonseam/dns/ResolverTest.java
+++ b/src/test/java/damsonseam/dns/ResolverTest.java
@@ -69,9 +69,9 @@
         }
     }
 
-    private void lookUp(long call) {
+    private void lookUp(long callId) {
         resolver.advanceClock(now);
-        resolver.lookUp(call, NUMBER, now + 2_000);
+        resolver.lookUp(callId, NUMBER, now + 2_000);
     }
 
     private Query lastQuery() {
--- a/src/test/java/damsonseam/sim/SimulatedFront.java
+++ b/src/test/java/damsonseam/sim/SimulatedFront.java
@@ -217,9 +217,9 @@
                             int attempt,
                             AttemptStatus result,
                             RejectReason reason,
-                            OptionalDouble toldWait,
+                            OptionalDouble retryAfterMs,
                             ServerLoadReport report) {
-                        router.attemptEnded(at, call, attempt, result, reason, toldWait, report);
+                        router.attemptEnded(at, call, attempt, result, reason, retryAfterMs, report);
                     }
 
                     @Override
@@ -389,21 +389,21 @@
 
     @Override
     public RouterPorts.SendFailure sendSetUp(
-            double at, String serverId, long call, int attempt, double deadline, CallRecord record) {
+            double at, String serverId, long callId, int attempt, double giveUpAt, CallRecord record) {
         if (unreachableServers.contains(serverId)) {
             return new RouterPorts.SendFailure(AttemptStatus.UNREACHABLE, RejectReason.NONE);
         }
-        return groups.get(serverId).setUp(call, attempt, record.number(), 10)
+        return groups.get(serverId).setUp(callId, attempt, record.number(), 10)
                 ? null
                 : new RouterPorts.SendFailure(AttemptStatus.FULL, RejectReason.NO_LINE);
     }
 
     @Override
-    public double sendRelease(double at, String serverId, long call, int attempt, boolean timedOut) {
+    public double sendRelease(double at, String serverId, long callId, int attempt, boolean timedOut) {
         groups.get(serverId)
                 .release(
                         at,
-                        call,
+                        callId,
                         attempt,
                         timedOut ? IsupMessage.RECOVERY_ON_TIMER_EXPIRY : IsupMessage.NORMAL_CLEARING);
         return now;
