--- a/src/main/java/damsonseam/bench/MemoryBench.java
+++ b/src/main/java/damsonseam/bench/MemoryBench.java
@@ -56,10 +56,10 @@
                     "s" + i, i, "127.0.0.1:1", 2 + i, ServerState.RUNNING, OptionalDouble.empty()));
         }
         List<Long> lookups = new ArrayList<>();
-        // The path is measured rather than the module, which holds no established calls.
+        // The path is measured rather than the routing policy, which holds no established calls.
         Router router = new Router(
-                new RouterSettings(settings.moduleSettings(1), 2 * count, 5, 100, 20),
-                actions -> new CongestionControlPolicy(settings.moduleSettings(1), actions),
+                new RouterSettings(settings.policySettings(1), 2 * count, 5, 100, 20),
+                actions -> new CongestionControlPolicy(settings.policySettings(1), actions),
                 new CallTable(2 * count, 1),
                 timers,
                 (call, number, deadline) -> lookups.add(call),
