--- a/src/main/java/damsonseam/CongestionControlPolicy.java
+++ b/src/main/java/damsonseam/CongestionControlPolicy.java
@@ -49,9 +49,9 @@
     private static final double MAX_FIRST_ONSET_SHARE = 0.5;
     /** Weight of the newest sample in the wait estimate. */
     private static final double FAST_SMOOTHING_WEIGHT = 0.5;
-    /** Least weight of the newest sample in the mean and variance of the wait in normal operation. */
+    /** Minimum weight of the newest sample in the mean and variance of the wait in normal operation. */
     private static final double MIN_SLOW_SMOOTHING_WEIGHT = 0.05;
-    /** Least rate at which the wait estimate decays without new samples, in milliseconds per millisecond. */
+    /** Minimum rate at which the wait estimate decays without new samples, in milliseconds per millisecond. */
     private static final double MIN_ESTIMATE_DECAY_RATE = 0.4;
     /** Further set-ups sent to a server that does not answer before its silence stops calls of all ranks. */
     private static final int MAX_SILENCE_TEST_SET_UPS = 2;
@@ -77,7 +77,7 @@
     private static final int MAX_REMEMBERED_SERVERS = 100;
     /** Delay before a failed server-list request is repeated: no flood, yet below the usual lag of updates. */
     private static final double SERVER_LIST_RETRY_MS = 1_000.0;
-    /** Greatest throttle of a server: the factor by which this front's send interval exceeds the fair one. */
+    /** Maximum throttle of a server: the factor by which this front's send interval exceeds the fair one. */
     private static final double MAX_THROTTLE = 8.0;
     /** Factor that a short wait applies to the throttle. */
     private static final double THROTTLE_DECAY = 0.6;
@@ -161,10 +161,10 @@
     private int completedCalls;
     /** Shortest set-up delay of all servers. */
     private double bestDelay = Double.POSITIVE_INFINITY;
-    /** Least time from now to an answer at any running server, computed once per batch. */
+    /** Shortest time from now to an answer at any running server, computed once per batch. */
     private double minTimeToAnswer;
-    /** Sum of the ordinary loads of all running servers, computed once per batch. */
-    private double totalOrdinaryLoad;
+    /** Sum of the normal loads of all running servers, computed once per batch. */
+    private double totalNormalLoad;
     /** Share of all lines that is in use, computed once per batch. */
     private double lineOccupancy;
 
@@ -288,7 +288,7 @@
         double selectionKey;
 
         double linesReportInterval;
-        /** This front's lot: the number of available lines that it must see before it sends. */
+        /** Random draw of this front: the number of available lines above which it sends; see {@link #hasFreeLine}. */
         double lineThreshold;
         /** Whether an attempt was reset or found the server unreachable since its last answer. */
         boolean connectionFailed;
@@ -377,7 +377,7 @@
         CallClass callClass = settings.classes().get(call.callClass());
         // Guards against many calls to one number: while all its lines are busy, a set-up for it is wasted.
         if (busyNumbers.isActive(call.number(), now)) {
-            actions.refuseCall(call.id(), retryAfterAdvice());
+            actions.refuseCall(call.id(), randomRetryAfter());
             return;
         }
         // A paused front is offered its calls late: their remaining time is shorter than usual by the delay.
@@ -434,7 +434,7 @@
         if (outcome.status() == AttemptStatus.TIMED_OUT
                 || outcome.status() == AttemptStatus.RESET
                 || outcome.status() == AttemptStatus.CANCELLED) {
-            // What the attempt held may stay occupied until its release, so wait for the guard time.
+            // What the attempt occupies is freed only by its release, so wait for the guard time.
             call.notBefore = now + releaseGuard;
         }
         boolean giveUp = outcome.reason() == RejectReason.NUMBER_BUSY
@@ -696,7 +696,7 @@
      * Returns whether the server may have a free line for a call of this rank. This guards the worth of calls where
      * lines run short before the processor does, which the wait does not show. Each rank leaves some lines to the
      * next higher one. If fewer lines become available before the next report than there are fronts, each front
-     * draws by lot whether it sends. An old report that no line is free is ignored.
+     * decides by a random draw whether it sends. An old report that no line is free is ignored.
      */
     private boolean hasFreeLine(Server server, int rank, double now) {
         if (server.freeLines <= 0
@@ -804,8 +804,8 @@
 
     /** Returns the abatement level of a rank, half way between the wait of normal operation and the onset. */
     private double abatement(Server server, int rank) {
-        double ordinary = Math.min(server.meanWait, onset(server, 0));
-        return (ordinary + onset(server, rank)) / 2;
+        double normalWait = Math.min(server.meanWait, onset(server, 0));
+        return (normalWait + onset(server, rank)) / 2;
     }
 
     /** Returns whether a server is open to calls of this rank by its levels and its free lines. */
@@ -959,8 +959,8 @@
         if (open.size() > 1) {
             open.remove(call.avoidedServer);
         }
-        // Draws are weighted by ordinary load: what a large server can't take would overload a small one.
-        open.forEach(server -> server.selectionKey = -Math.log(1 - random.nextDouble()) / ordinaryLoad(server));
+        // Draws are weighted by normal load: the calls that a large server rejects would overload a small one.
+        open.forEach(server -> server.selectionKey = -Math.log(1 - random.nextDouble()) / normalLoad(server));
         open.sort(Comparator.comparingDouble(server -> server.selectionKey));
         Server candidate = open.get(0);
         Server alternative = open.get(Math.min(1, open.size() - 1));
@@ -993,31 +993,32 @@
         return Math.max(negativeObservationLifetime(), fairInterval(server));
     }
 
-    /** Returns the time for which a single negative observation is trusted. */
+    /** Returns the time for which one negative observation, such as a busy number or a failed test, is trusted. */
     private double negativeObservationLifetime() {
         return Math.max(releaseGuard, 2 * waitBudget);
     }
 
     /**
      * Returns the fair interval: the time between set-ups of this front to a server if all fronts together kept it
-     * at its ordinary share of established calls. Lines in use show these shares at once and to all fronts.
+     * at its normal share of established calls. Lines in use show these shares at once and to all fronts.
      * Allowances are counted in fair intervals, so that those of all fronts, be they 5 or 500, add up to the
      * capacity of a server.
      */
     private double fairInterval(Server server) {
-        double byOwnRate = Math.max(1, totalOrdinaryLoad / ordinaryLoad(server))
+        double byOwnRate = Math.max(1, totalNormalLoad / normalLoad(server))
                 * Math.max(recentEstablishedSpan, waitBudget)
                 / Math.max(1, recentEstablished);
         return lineOccupancy > 0 && completedCalls > 0
-                ? Math.min(byOwnRate, frontCount * completedCallTime / completedCalls / ordinaryLoad(server))
+                ? Math.min(byOwnRate, frontCount * completedCallTime / completedCalls / normalLoad(server))
                 : byOwnRate;
     }
 
     /**
-     * Returns the recent peak of lines in use. A server with a known start time may be new and counts at least with the
-     * average occupancy of its lines. Where lines are unknown, all servers count the same.
+     * Returns the normal load of a server: the recent peak of its lines in use. A server with a known start time may be
+     * new and counts at least with the average occupancy of its lines. Where lines are unknown, all servers count the
+     * same.
      */
-    private double ordinaryLoad(Server server) {
+    private double normalLoad(Server server) {
         double peak = server.startedAt > Double.NEGATIVE_INFINITY
                 ? Math.max(server.peakLinesInUse, lineOccupancy * server.lines)
                 : server.peakLinesInUse;
@@ -1040,9 +1041,9 @@
         }
         minTimeToAnswer = minTimeToAnswer == Double.POSITIVE_INFINITY ? 0 : minTimeToAnswer;
         lineOccupancy = lines > 0 ? linesInUse / lines : 0;
-        totalOrdinaryLoad = 0;
+        totalNormalLoad = 0;
         for (Server server : servers.values()) {
-            totalOrdinaryLoad += server.state == ServerState.RUNNING && !server.down ? ordinaryLoad(server) : 0;
+            totalNormalLoad += server.state == ServerState.RUNNING && !server.down ? normalLoad(server) : 0;
         }
     }
 
@@ -1068,10 +1069,13 @@
         stopHolding(call);
         pendingCalls.remove(call.id);
         rememberUnserved(call);
-        actions.refuseCall(call.id, retryAfterAdvice());
+        actions.refuseCall(call.id, randomRetryAfter());
     }
 
-    /** Remembers a caller without service, who will redial, marked as a redial or not, and be late by then. */
+    /**
+     * Remembers the number of a call that got no service. Its caller will redial, whether marked as a redial or not,
+     * and the new call has missed its aim from the start.
+     */
     private void rememberUnserved(PendingCall call) {
         unservedNumbers.putIfAbsent(
                 call.number,
@@ -1079,8 +1083,8 @@
                         + settings.classes().get(call.callClass).deadline().orElse(DEFAULT_AIM_MS));
     }
 
-    /** Returns a random advice when to redial, so that redials do not arrive in step. */
-    private double retryAfterAdvice() {
+    /** Returns a random Retry-After time, so that redials do not arrive in step. */
+    private double randomRetryAfter() {
         return settings.maxRetryAfter().orElse(0) * (0.5 + 0.5 * random.nextDouble());
     }
 
@@ -1141,7 +1145,7 @@
         }
     }
 
-    /** Sends, refuses or keeps one held call; returns whether the next of its group may fare differently. */
+    /** Sends, refuses or keeps one held call; returns whether the next call of its group may have another result. */
     private boolean tryDispatch(PendingCall call, CallGroup group, Set<CallKind> closedKinds, double now) {
         List<Server> usable = usableServers(call);
         Server server = now >= call.notBefore ? chooseServer(call, usable, now) : null;
--- a/src/main/java/damsonseam/core/Router.java
+++ b/src/main/java/damsonseam/core/Router.java
@@ -321,7 +321,10 @@
 
     // ---- Attempts ---------------------------------------------------------------------------------------
 
-    /** Handles a positive answer to an attempt: the call is established. Answers of ended attempts are ignored. */
+    /**
+     * Handles a positive answer to an attempt: the call is established. Answers to attempts that have ended are
+     * ignored.
+     */
     public void callEstablished(double at, long callId, int attempt, ServerLoadReport report) {
         advanceClock(at);
         CallRecord call = calls.get(callId);
@@ -377,19 +380,27 @@
             RejectReason reason,
             OptionalDouble retryAfter,
             ServerLoadReport report) {
-        boolean callEnded = call.phase() == Phase.ESTABLISHED;
+        boolean wasEstablished = call.phase() == Phase.ESTABLISHED;
         double duration = (call.releaseStatus() == null ? now : call.releaseStartedAt()) - call.sentAt();
         timers.cancel(call.replaceAttemptTimer(null));
-        if (!callEnded) {
+        if (!wasEstablished) {
             call.endAttempt();
         }
         tracer.traceStep(now, call, "ended", call.server() + " " + status);
         policy.onAttemptOutcome(
                 now,
                 new AttemptOutcome(
-                        call.id(), call.server(), attempt, duration, status, reason, retryAfter, callEnded, report));
+                        call.id(),
+                        call.server(),
+                        attempt,
+                        duration,
+                        status,
+                        reason,
+                        retryAfter,
+                        wasEstablished,
+                        report));
         markBatchOpen();
-        if (callEnded) {
+        if (wasEstablished) {
             call.close();
             calls.remove(call);
         }
@@ -479,8 +490,8 @@
             return;
         }
         int attempt = call.startAttempt(serverId, now);
-        double latestEnd = call.deadline() - settings.answerMarginMs();
-        double giveUpAt = abandonAt > 0 ? Math.min(abandonAt, latestEnd) : latestEnd;
+        double latestGiveUpAt = call.deadline() - settings.answerMarginMs();
+        double giveUpAt = abandonAt > 0 ? Math.min(abandonAt, latestGiveUpAt) : latestGiveUpAt;
         SendFailure failure = signalling.sendSetUp(now, serverId, callId, attempt, giveUpAt, call);
         if (failure != null) {
             counters.notSent++;
--- a/src/main/java/damsonseam/dns/EnumService.java
+++ b/src/main/java/damsonseam/dns/EnumService.java
@@ -33,7 +33,7 @@
     }
 
     /** Counters of queries that did not become a call. */
-    public static final class Counts {
+    public static final class Counters {
         /** Messages that were not a valid query. */
         public long malformed;
         /** Queries of a class, suffix, opcode or EDNS version that is not served. */
@@ -69,7 +69,7 @@
     private final Router router;
     private final TransactionTable transactions;
     private final double returnDelayMs;
-    private final Counts counts = new Counts();
+    private final Counters counters = new Counters();
 
     /**
      * Creates a service.
@@ -127,14 +127,14 @@
             }
         }
         if (DnsCodec.isResponse(message)) {
-            counts.malformed++;
+            counters.malformed++;
             return null;
         }
         Message query;
         try {
             query = DnsCodec.decode(message);
         } catch (DnsFormatException e) {
-            counts.malformed++;
+            counters.malformed++;
             if (message.length >= DnsCodec.HEADER_BYTES) {
                 sender.send(EnumResponses.formatError(DnsCodec.messageId(message)));
             }
@@ -143,7 +143,7 @@
         int maxBytes = maxResponseBytes(query, tcp);
         byte[] error = errorIfNotServed(query, maxBytes);
         if (error != null) {
-            counts.notServed++;
+            counters.notServed++;
             sender.send(error);
             return null;
         }
@@ -223,21 +223,21 @@
         TransactionTable.Key key = query.key();
         TransactionTable.Entry known = transactions.find(key, now);
         if (known != null) {
-            counts.duplicates++;
+            counters.duplicates++;
             if (known.response() != null) {
                 sender.send(known.response());
             }
             return null;
         }
         if (!transactions.open(key, now)) {
-            counts.tableFull++;
+            counters.tableFull++;
             sender.send(EnumResponses.error(
                     query.message(), Rcode.REFUSED, EnumResponses.EDE_REFUSED, "no room", query.maxBytes()));
             return null;
         }
         long waitMs = admission.decide(now, entry.callClass(), query.source());
         if (waitMs >= 0) {
-            counts.rejected++;
+            counters.rejected++;
             byte[] response =
                     query.encodeResponse(0, new FinalAnswer(FinalAnswer.Kind.REFUSED, "", waitMs, FRONT_BUSY), suffix);
             transactions.complete(key, response, now);
@@ -318,7 +318,7 @@
     }
 
     /** Returns the counters, which run since the start. */
-    public Counts counts() {
-        return counts;
+    public Counters counters() {
+        return counters;
     }
 }
--- a/src/main/java/damsonseam/dns/Resolver.java
+++ b/src/main/java/damsonseam/dns/Resolver.java
@@ -64,7 +64,7 @@
     public record Limits(int udpSockets, int maxQueries, int maxPendingLookups, double staleAfterMs) {}
 
     /** Counters for reports. */
-    public static final class Counts {
+    public static final class Counters {
         /** Calls answered from the cache with a fresh result. */
         public long cacheHits;
         /** Calls answered with a stale result. */
@@ -119,7 +119,7 @@
     /** Results known without a query, at most one per call of the current event-loop iteration. */
     private final ArrayDeque<Runnable> knownResults = new ArrayDeque<>();
 
-    private final Counts counts = new Counts();
+    private final Counters counters = new Counters();
     private double now;
 
     /** Creates a resolver for one zone. */
@@ -151,25 +151,25 @@
     public void lookUp(long callId, String number, double deadline) {
         LookupCache.CachedResult cached = cache.find(number, now);
         if (cached != null && cached.isFresh()) {
-            counts.cacheHits++;
+            counters.cacheHits++;
             reportLater(callId, cached.result());
             return;
         }
         LookupResult stale = cached == null ? null : cached.result();
         if (cached != null && cached.failedRecently()) {
-            counts.staleResults += stale == null ? 0 : 1;
-            counts.failedLookups += stale == null ? 1 : 0;
+            counters.staleResults += stale == null ? 0 : 1;
+            counters.failedLookups += stale == null ? 1 : 0;
             reportLater(callId, stale == null ? LookupResult.UNAVAILABLE : stale);
             return;
         }
         Lookup lookup = lookups.get(number);
         if (lookup != null) {
-            counts.coalesced++;
+            counters.coalesced++;
             addWaitingCall(lookup, callId, deadline);
             return;
         }
         if (lookups.size() >= limits.maxPendingLookups()) {
-            counts.failedLookups++;
+            counters.failedLookups++;
             reportLater(callId, stale == null ? LookupResult.UNAVAILABLE : stale);
             return;
         }
@@ -223,7 +223,7 @@
         Query query = new Query(id, authority, socket, name, now);
         lookup.queries.add(query);
         lookupsByMessageId.computeIfAbsent(id, i -> new ArrayList<>(1)).add(lookup);
-        counts.queriesSent++;
+        counters.queriesSent++;
         byte[] encoded = encodeQuery(id, name);
         timers.cancel(lookup.queryTimer);
         double timeoutAt = now + authorities.timeoutMs(authority);
@@ -235,7 +235,7 @@
             sendNextQuery(lookup);
         });
         if (tcp) {
-            counts.tcpQueries++;
+            counters.tcpQueries++;
             output.sendTcp(authority, encoded);
         } else {
             output.sendUdp(authority, socket, encoded);
@@ -301,7 +301,7 @@
 
     /** Counts a mismatched response against the lookups with its message ID, as a defence against guessed responses. */
     private void recordMismatch(int id) {
-        counts.mismatchedResponses++;
+        counters.mismatchedResponses++;
         for (Lookup lookup : List.copyOf(lookupsByMessageId.getOrDefault(id, List.of()))) {
             if (++lookup.mismatches == MAX_MISMATCHES) {
                 sendNextQuery(lookup);
@@ -319,7 +319,7 @@
         if (rcode == Rcode.NXDOMAIN) {
             succeed(lookup, LookupResult.NOT_FOUND, negativeTtlS(message));
         } else if (rcode != Rcode.NOERROR || !message.getHeader().getFlag(Flags.AA)) {
-            counts.lameResponses++;
+            counters.lameResponses++;
             authorities.recordLame(query.authority(), now);
             sendNextQuery(lookup);
         } else {
@@ -360,15 +360,15 @@
         cache.recordFailure(lookup.number, now);
         remove(lookup);
         boolean hasStaleResult = lookup.staleResult != null;
-        counts.staleResults += hasStaleResult ? lookup.waitingCalls.size() : 0;
-        counts.failedLookups += hasStaleResult ? 0 : lookup.waitingCalls.size();
+        counters.staleResults += hasStaleResult ? lookup.waitingCalls.size() : 0;
+        counters.failedLookups += hasStaleResult ? 0 : lookup.waitingCalls.size();
         lookup.waitingCalls.forEach(w -> output.onLookupComplete(
                 now, w.callId(), hasStaleResult ? lookup.staleResult : LookupResult.UNAVAILABLE));
     }
 
     /** Reports the stale result to the waiting calls; the lookup continues for the sake of later ones. */
     private void reportStale(Lookup lookup) {
-        counts.staleResults += lookup.waitingCalls.size();
+        counters.staleResults += lookup.waitingCalls.size();
         List<WaitingCall> waitingCalls = List.copyOf(lookup.waitingCalls);
         lookup.waitingCalls.clear();
         waitingCalls.forEach(w -> output.onLookupComplete(now, w.callId(), lookup.staleResult));
@@ -395,8 +395,8 @@
     }
 
     /** Returns the counters, which run since the start. */
-    public Counts counts() {
-        return counts;
+    public Counters counters() {
+        return counters;
     }
 
     /** Returns the cache of results. */
--- a/src/main/java/damsonseam/front/DatagramIntake.java
+++ b/src/main/java/damsonseam/front/DatagramIntake.java
@@ -58,7 +58,7 @@
     private static final int MAX_PENDING_ANSWERS = 1 << 14;
 
     private static final int NONCE_BYTES = 16;
-    /** Decision about a query whose caller's patience was over when it was read: answered as failed. */
+    /** Recorded decision about a query whose caller's patience was over when it was read: answered as failed. */
     private static final long EXPIRED = Long.MAX_VALUE;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -68,17 +68,17 @@
     private final NumberPlan numberPlan;
     private final WorthRanks ranks;
     private final AdmissionController admission;
-    private final FrontLoadState load;
+    private final FrontLoadState frontLoad;
     private final QueryQueue queue;
     private final DecisionCache recentDecisions;
     private final double returnPathMs;
-    private final long queueFullAdviceMs;
+    private final long queueFullRetryAfterMs;
     private final Runnable drainTask;
     private final AtomicBoolean drainScheduled = new AtomicBoolean();
     private final MpscArrayQueue<DatagramPacket> pendingAnswers = new MpscArrayQueue<>(MAX_PENDING_ANSWERS);
     private final AtomicBoolean flushScheduled = new AtomicBoolean();
     private final QueueAgeEstimator queueAge;
-    private final LoopDelayGauge loopGauge = new LoopDelayGauge(FrontSettings.TICK_MS);
+    private final LoopDelayGauge loopDelayGauge = new LoopDelayGauge(FrontSettings.TICK_MS);
     private final Counters counters;
     private Channel channel;
     private DatagramChannel datagramChannel;
@@ -113,7 +113,7 @@
     /**
      * Creates an intake that is not bound yet.
      *
-     * @param drain run on the event loop when the queue has become non-empty
+     * @param drain task to run on the event loop when the queue has become non-empty
      */
     DatagramIntake(
             CoreLoop loop,
@@ -129,7 +129,7 @@
         this.numberPlan = plan;
         this.ranks = settings.ranks();
         this.admission = admission;
-        this.load = load;
+        this.frontLoad = load;
         this.queue = queue;
         this.returnPathMs = settings.enumSettings().wayBack().ms();
         double maxPatienceMs = settings.numbers().stream()
@@ -140,7 +140,7 @@
                 maxPatienceMs + settings.enumSettings().keepAnswers().ms(),
                 settings.limits().questions());
         counters = new Counters(ranks.count());
-        queueFullAdviceMs = Math.round(settings.fleet().maxReturnAdvice().ms());
+        queueFullRetryAfterMs = Math.round(settings.fleet().maxReturnAdvice().ms());
         this.drainTask = drain;
         byte[] nonce = new byte[NONCE_BYTES];
         new SecureRandom().nextBytes(nonce);
@@ -180,7 +180,7 @@
         intakeLoop.scheduleWithFixedDelay(
                 () -> {
                     double now = loop.now();
-                    loopGauge.recordTick(now);
+                    loopDelayGauge.recordTick(now);
                     channel.writeAndFlush(
                             new DatagramPacket(Unpooled.wrappedBuffer(queueAge.createMarker(now)), ownAddress));
                 },
@@ -258,8 +258,8 @@
         return new Counters(counters);
     }
 
-    LoopDelayGauge loopGauge() {
-        return loopGauge;
+    LoopDelayGauge loopDelayGauge() {
+        return loopDelayGauge;
     }
 
     void close() {
@@ -312,30 +312,30 @@
             refuse(ctx, queued, EXPIRED);
             return;
         }
-        long adviceMs = admission.decide(now, rank, HeavySenderDetector.senderKey(address), load);
-        if (adviceMs == AdmissionController.ADMIT) {
+        long retryAfterMs = admission.decide(now, rank, HeavySenderDetector.senderKey(address), frontLoad);
+        if (retryAfterMs == AdmissionController.ADMIT) {
             if (enqueue(rank, queued)) {
                 recentDecisions.put(fingerprint, DecisionCache.ADMITTED, now);
                 return;
             }
             counters.queueFull++;
-            adviceMs = queueFullAdviceMs;
+            retryAfterMs = queueFullRetryAfterMs;
         }
         counters.refused[rank]++;
-        recentDecisions.put(fingerprint, adviceMs, now);
-        refuse(ctx, queued, adviceMs);
+        recentDecisions.put(fingerprint, retryAfterMs, now);
+        refuse(ctx, queued, retryAfterMs);
     }
 
-    private void refuse(ChannelHandlerContext ctx, QueryQueue.QueuedQuery query, long adviceMs) {
+    private void refuse(ChannelHandlerContext ctx, QueryQueue.QueuedQuery query, long retryAfterMs) {
         FastPathQuery fastPathQuery = query.fastPathQuery();
         writeAnswer(
                 ctx,
                 query.sender(),
-                adviceMs == EXPIRED
+                retryAfterMs == EXPIRED
                         ? FastPathResponse.encodeFailed(
                                 fastPathQuery, "waited unread too long", fastPathQuery.maxResponseBytes())
                         : FastPathResponse.encodeRefused(
-                                fastPathQuery, adviceMs, EnumService.FRONT_BUSY, fastPathQuery.maxResponseBytes()));
+                                fastPathQuery, retryAfterMs, EnumService.FRONT_BUSY, fastPathQuery.maxResponseBytes()));
     }
 
     private static void writeAnswer(ChannelHandlerContext ctx, InetSocketAddress to, byte[] message) {
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -239,7 +239,7 @@
             Counters counters = router.counters();
             DatagramIntake.Counters intake = dnsListener.intake().counters();
             LoopDelayGauge loopGauge = selfMonitor.loopGauge();
-            LoopDelayGauge intakeGauge = dnsListener.intake().loopGauge();
+            LoopDelayGauge intakeGauge = dnsListener.intake().loopDelayGauge();
             JvmMonitor.Sample sample = selfMonitor.latestSample();
             return new FrontReport(
                     counters.received,
@@ -277,7 +277,7 @@
             selfMonitor.resetDelays();
             return null;
         });
-        dnsListener.intake().execute(() -> dnsListener.intake().loopGauge().reset());
+        dnsListener.intake().execute(() -> dnsListener.intake().loopDelayGauge().reset());
     }
 
     /** Returns the number of open calls, including established ones. */
--- a/src/main/java/damsonseam/node/NodeServer.java
+++ b/src/main/java/damsonseam/node/NodeServer.java
@@ -181,13 +181,13 @@
         done.join();
         LOG.atInfo()
                 .addKeyValue("node", config.name())
-                .addKeyValue("owed", pendingAnswers())
+                .addKeyValue("owed", unansweredCalls())
                 .addKeyValue("standing", callOnLoop(() -> callRegistry.size()))
                 .log("front node stopped");
         close();
     }
 
-    private int pendingAnswers() {
+    private int unansweredCalls() {
         return callOnLoop(() -> router.unansweredCalls());
     }
 
@@ -216,7 +216,7 @@
      *
      * @param openCalls open calls, established ones included
      * @param coreCalls open calls that the core knows: all but those adopted from before the start
-     * @param pendingAnswers calls without a final answer, as counted by the core
+     * @param unansweredCalls calls without a final answer, as counted by the core
      * @param attempts attempts without an outcome, at all servers
      * @param carriedAttempts the same as counted by the connections, and the attempts that wait for one
      * @param establishedAtServers established calls as counted by the servers
@@ -225,7 +225,7 @@
     record ConsistencyCounts(
             int openCalls,
             int coreCalls,
-            int pendingAnswers,
+            int unansweredCalls,
             int attempts,
             int carriedAttempts,
             int establishedAtServers,
--- a/src/main/java/damsonseam/node/PendingReleases.java
+++ b/src/main/java/damsonseam/node/PendingReleases.java
@@ -76,7 +76,7 @@
     }
 
     /** Returns how many BYE requests may still be confirmed in time; those without a connection are not counted. */
-    long awaitingConfirmation() {
+    long countAwaitingConfirmation() {
         double now = loop.now();
         return pending.values().stream()
                 .filter(release -> release.connection != null && now - release.sentAtMs <= CONFIRMATION_TIMEOUT_MS)
--- a/src/main/java/damsonseam/node/ServerConnection.java
+++ b/src/main/java/damsonseam/node/ServerConnection.java
@@ -20,7 +20,7 @@
     private final ServerEndpoint endpoint;
     private final Channel channel;
     private final SipDecoder decoder;
-    private int outstanding;
+    private int outstandingAttempts;
     private boolean flushScheduled;
     private boolean suspect;
     private double lastReceivedMs;
@@ -32,12 +32,12 @@
     }
 
     /** Returns the number of attempts assigned to this connection that have no outcome yet. */
-    int outstanding() {
-        return outstanding;
+    int outstandingAttempts() {
+        return outstandingAttempts;
     }
 
-    void adjustOutstanding(int change) {
-        outstanding += change;
+    void adjustOutstandingAttempts(int change) {
+        outstandingAttempts += change;
     }
 
     boolean isUsable() {
@@ -115,7 +115,7 @@
         Throwable reason = cause instanceof DecoderException && cause.getCause() != null ? cause.getCause() : cause;
         LOG.atInfo()
                 .addKeyValue("server", endpoint.id())
-                .addKeyValue("out", outstanding)
+                .addKeyValue("out", outstandingAttempts)
                 .addKeyValue("why", reason.toString())
                 .log("server connection failed");
         if (!(reason instanceof IOException)
--- a/src/main/java/damsonseam/node/ServerEndpoint.java
+++ b/src/main/java/damsonseam/node/ServerEndpoint.java
@@ -85,10 +85,14 @@
     /** Whether another connection was lost while the present connection attempt was under way. */
     private boolean connectAgain;
 
-    private boolean connectAttempted;
+    private boolean connectAttemptCompleted;
+    /** Whether connections may be opened and set-ups sent; false once delisted, replaced or closed. */
     private boolean active = true;
+    /** Whether the server list names this server. */
     private boolean listed = true;
+    /** Whether another server has taken the address of this one. */
     private boolean replaced;
+
     private boolean backingOff;
     private double backoffMs = INITIAL_BACKOFF_MS;
     private double lastReceivedMs;
@@ -146,23 +150,25 @@
         return connections.size() + (connecting ? 1 : 0);
     }
 
-    int attemptCount() {
+    int outstandingAttempts() {
         return attempts.size();
     }
 
     /** Returns the number of attempts as counted by the connections, and those that wait for one. */
     int carriedAttempts() {
         return queuedAttempts.size()
-                + connections.stream().mapToInt(ServerConnection::outstanding).sum();
+                + connections.stream()
+                        .mapToInt(ServerConnection::outstandingAttempts)
+                        .sum();
     }
 
     Set<NodeCall> establishedCalls() {
         return establishedCalls;
     }
 
-    /** Returns whether the first connection attempt has succeeded or failed. */
-    boolean hasTriedToConnect() {
-        return connectAttempted;
+    /** Returns whether a first connection attempt has completed, successfully or not. */
+    boolean hasCompletedConnectAttempt() {
+        return connectAttemptCompleted;
     }
 
     double now() {
@@ -274,7 +280,7 @@
     /** Adds an established connection and sends what waited for one. */
     void onConnected(ServerConnection connection) {
         connecting = false;
-        connectAttempted = true;
+        connectAttemptCompleted = true;
         backoffMs = INITIAL_BACKOFF_MS;
         connections.add(connection);
         lastReceivedMs = Math.max(lastReceivedMs, now() - PROBE_AFTER_MS);
@@ -292,7 +298,7 @@
 
     private void onConnectFailed(Throwable cause) {
         connecting = false;
-        connectAttempted = true;
+        connectAttemptCompleted = true;
         failQueued();
         if (connections.isEmpty()) {
             if (cause instanceof ConnectException && !(cause instanceof io.netty.channel.ConnectTimeoutException)) {
@@ -308,10 +314,10 @@
     /** Removes a closed connection. Attempts sent on it are reset: the server may have handled them. */
     void onDisconnected(ServerConnection connection) {
         connections.remove(connection);
-        if (connection.outstanding() > 0) {
+        if (connection.outstandingAttempts() > 0) {
             LOG.atInfo()
                     .addKeyValue("server", server.id())
-                    .addKeyValue("out", connection.outstanding())
+                    .addKeyValue("out", connection.outstandingAttempts())
                     .addKeyValue("others", connections.size())
                     .log("server connection lost with outstanding attempts");
         }
@@ -363,7 +369,7 @@
         for (ServerConnection connection : connections) {
             if (connection.isUsable()
                     && (includeSuspect || !connection.isSuspect())
-                    && (best == null || connection.outstanding() < best.outstanding())) {
+                    && (best == null || connection.outstandingAttempts() < best.outstandingAttempts())) {
                 best = connection;
             }
         }
@@ -392,7 +398,7 @@
         if (connection == null) {
             return false;
         }
-        if (connection.outstanding() > 0) {
+        if (connection.outstandingAttempts() > 0) {
             connect();
         }
         assign(attempt, connection);
@@ -413,7 +419,7 @@
      */
     private void assign(Attempt attempt, ServerConnection connection) {
         attempt.connection = connection;
-        connection.adjustOutstanding(1);
+        connection.adjustOutstandingAttempts(1);
         context.loop().runAfterReads(() -> {
             if (attempts.get(attempt.key()) == attempt && attempt.connection == connection && !attempt.sent) {
                 sendInvite(attempt);
@@ -443,7 +449,7 @@
         }
         long recordId = attempt.recordId;
         if (attempt.connection != null) {
-            attempt.connection.adjustOutstanding(-1);
+            attempt.connection.adjustOutstandingAttempts(-1);
         }
         if (!attempt.sent) {
             queuedAttempts.remove(attempt);
@@ -463,7 +469,7 @@
     private void endAttempt(Attempt attempt, AttemptStatus status, RejectReason reason, ServerLoadReport report) {
         attempts.remove(attempt.key());
         if (attempt.connection != null) {
-            attempt.connection.adjustOutstanding(-1);
+            attempt.connection.adjustOutstandingAttempts(-1);
         }
         router.attemptEnded(now(), attempt.recordId, attempt.index, status, reason, OptionalDouble.empty(), report);
         closeIfUnused();
@@ -580,7 +586,7 @@
             return;
         }
         attempts.remove(key);
-        connection.adjustOutstanding(-1);
+        connection.adjustOutstandingAttempts(-1);
         NodeCall call = attempt.nodeCall;
         call.answer = message.body();
         call.answerContentType = message.headers().get("Content-Type");
@@ -727,7 +733,7 @@
     void sweep(double now) {
         for (ServerConnection connection : List.copyOf(connections)) {
             if (connection.isStuckMidMessage(now, STUCK_AFTER_MS)
-                    || connection.isSuspect() && connection.outstanding() == 0) {
+                    || connection.isSuspect() && connection.outstandingAttempts() == 0) {
                 connection.close();
             }
         }
--- a/src/main/java/damsonseam/node/ServerEndpoints.java
+++ b/src/main/java/damsonseam/node/ServerEndpoints.java
@@ -95,7 +95,7 @@
 
     int outstandingAttempts() {
         return endpoints.values().stream()
-                .mapToInt(ServerEndpoint::attemptCount)
+                .mapToInt(ServerEndpoint::outstandingAttempts)
                 .sum();
     }
 
@@ -185,7 +185,7 @@
         return router.serverList().servers().stream()
                 .filter(server -> server.state() == ServerState.RUNNING)
                 .allMatch(server -> endpoints.containsKey(server.id())
-                        && endpoints.get(server.id()).hasTriedToConnect());
+                        && endpoints.get(server.id()).hasCompletedConnectAttempt());
     }
 
     void close() {
--- a/src/main/java/damsonseam/node/Shutdown.java
+++ b/src/main/java/damsonseam/node/Shutdown.java
@@ -90,7 +90,7 @@
     /** Returns whether no answer or release is pending and no caller's message waits to be read. */
     private boolean isIdle(double now) {
         return router.unansweredCalls() == 0
-                && pendingReleases.awaitingConfirmation() == 0
+                && pendingReleases.countAwaitingConfirmation() == 0
                 && callerListener.isAccepting()
                 && now - callerListener.lastActivityMs() > 2 * CHECK_INTERVAL_MS;
     }
--- a/src/main/java/damsonseam/overload/LevelAdmissionController.java
+++ b/src/main/java/damsonseam/overload/LevelAdmissionController.java
@@ -86,8 +86,8 @@
         lastRefusalAt = now;
         double max = settings.maxRetryAfterMs();
         double mean = Math.max(MIN_RETRY_AFTER_MS, now - overloadedSince);
-        double advice = Math.min(max, mean) * (0.5 + random.nextDouble());
-        return Math.round(Math.min(max, advice));
+        double retryAfterMs = Math.min(max, mean) * (0.5 + random.nextDouble());
+        return Math.round(Math.min(max, retryAfterMs));
     }
 
     /** Returns the number of calls refused because their sender exceeded its fair share. */
--- a/src/main/java/damsonseam/ss7/TrunkGroup.java
+++ b/src/main/java/damsonseam/ss7/TrunkGroup.java
@@ -64,7 +64,10 @@
         RESETTING
     }
 
-    /** The state of a circuit that is in use; call and attempt are -1 if it carries none of this side. */
+    /**
+     * The state of a circuit that is in use; {@code callId} and {@code attempt} are -1 if it carries no call of this
+     * side.
+     */
     private static final class BusyCircuit {
         final int circuit;
         final long callId;
--- a/src/test/java/damsonseam/dns/ResolverTest.java
+++ b/src/test/java/damsonseam/dns/ResolverTest.java
@@ -186,7 +186,7 @@
                 "the case of the letters is random");
         respond(sent, lowerCase);
         assertTrue(results.isEmpty());
-        assertEquals(3, resolver.counts().mismatchedResponses);
+        assertEquals(3, resolver.counters().mismatchedResponses);
         respond(sent, genuine);
         assertEquals(1, results.size());
     }
--- a/src/test/java/damsonseam/node/NodeFixture.java
+++ b/src/test/java/damsonseam/node/NodeFixture.java
@@ -164,8 +164,8 @@
                         counts -> counts.attempts() == counts.carriedAttempts()
                                 && counts.establishedAtServers() == counts.establishedAtCallers()
                                 && counts.openCalls() >= counts.coreCalls()
-                                && counts.attempts() <= counts.pendingAnswers()
-                                && counts.openCalls() == counts.pendingAnswers() + counts.establishedAtServers());
+                                && counts.attempts() <= counts.unansweredCalls()
+                                && counts.openCalls() == counts.unansweredCalls() + counts.establishedAtServers());
     }
 
     <T extends AutoCloseable> T closeLater(T closeable) {
--- a/src/test/java/damsonseam/overload/LevelAdmissionControllerTest.java
+++ b/src/test/java/damsonseam/overload/LevelAdmissionControllerTest.java
@@ -66,13 +66,13 @@
         long offer(double at, int rank, long sender) {
             run(at);
             offered[rank]++;
-            long advice = controller.decide(at, rank, sender, this);
-            if (advice == AdmissionController.ADMIT) {
+            long retryAfterMs = controller.decide(at, rank, sender, this);
+            if (retryAfterMs == AdmissionController.ADMIT) {
                 queues.get(rank).add(at);
             } else {
                 refused[rank]++;
             }
-            return advice;
+            return retryAfterMs;
         }
 
         double refusedShare(int rank) {
@@ -232,11 +232,11 @@
         for (double at = 0; at < 6_000; ) {
             at += -Math.log(1 - random.nextDouble()) * loop.costMs / 10;
             boolean flooding = random.nextDouble() < 0.95;
-            long advice = loop.offer(at, 1, flooding ? 1 : 2 + random.nextInt(50));
+            long retryAfterMs = loop.offer(at, 1, flooding ? 1 : 2 + random.nextInt(50));
             if (at > 1_000) {
                 int[] counts = flooding ? flood : others;
                 counts[0]++;
-                counts[1] += advice == AdmissionController.ADMIT ? 0 : 1;
+                counts[1] += retryAfterMs == AdmissionController.ADMIT ? 0 : 1;
             }
         }
         double refusedShare = others[1] / (double) others[0];
@@ -267,12 +267,12 @@
         long min = Long.MAX_VALUE;
         long max = 0;
         for (int t = 1; t < 5_000; t++) {
-            long advice = loop.offer(t, 0, 1);
+            long retryAfterMs = loop.offer(t, 0, 1);
             if (t > 1_500 && t < 1_600) {
-                min = Math.min(min, advice);
-                max = Math.max(max, advice);
+                min = Math.min(min, retryAfterMs);
+                max = Math.max(max, retryAfterMs);
             }
-            assertTrue(advice <= 2_000);
+            assertTrue(retryAfterMs <= 2_000);
         }
         assertTrue(min < 1_000 && max > 1_900, min + " to " + max);
     }
