--- a/src/main/java/damsonseam/bench/FrontProcess.java
+++ b/src/main/java/damsonseam/bench/FrontProcess.java
@@ -112,7 +112,7 @@
         FrontServer.Components defaults = FrontServer.Components.defaults(settings);
         try (FrontServer front = FrontServer.start(
                 settings,
-                new FrontServer.Components(defaults.module(), () -> variant.newController(settings)),
+                new FrontServer.Components(defaults.policyFactory(), () -> variant.newController(settings)),
                 false)) {
             if (!front.awaitReady(READY_TIMEOUT_MS)) {
                 throw new IOException("front did not become ready");
