--- a/src/main/java/damsonseam/audit/AuditFolder.java
+++ b/src/main/java/damsonseam/audit/AuditFolder.java
@@ -34,8 +34,9 @@
         RunParameters parameters = JSON.readValue(parametersFile.toFile(), RunParameters.class);
         List<WireLog.Line> lines = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder.resolve("wire"))) {
-            for (Path file :
-                    files.filter(f -> f.toString().endsWith(".jsonl")).sorted().toList()) {
+            for (Path file : files.filter(path -> path.toString().endsWith(".jsonl"))
+                    .sorted()
+                    .toList()) {
                 WireLog.read(file, lines::add);
             }
         }
--- a/src/main/java/damsonseam/audit/Auditor.java
+++ b/src/main/java/damsonseam/audit/Auditor.java
@@ -54,7 +54,7 @@
     private final RunParameters parameters;
     private final Name suffix;
     private final Map<String, String> frontByPort = new HashMap<>();
-    private final Map<Integer, String> calculatorByCode = new HashMap<>();
+    private final Map<Integer, String> calculatorByPointCode = new HashMap<>();
     private final Map<String, Query> queries = new HashMap<>();
     /** The latest query for each front and number; a set-up for the number belongs to it. */
     private final Map<String, Query> latestQueryByNumber = new HashMap<>();
@@ -117,7 +117,7 @@
         this.parameters = parameters;
         suffix = E164Name.parseSuffix(parameters.suffix());
         parameters.fronts().forEach(f -> frontByPort.put("front:" + f.port(), f.name()));
-        parameters.calculators().forEach(c -> calculatorByCode.put(c.pointCode(), c.id()));
+        parameters.calculators().forEach(c -> calculatorByPointCode.put(c.pointCode(), c.id()));
         coldStartCheck = new ColdStartCheck(parameters);
     }
 
@@ -281,9 +281,9 @@
             M3uaMessage message = M3uaMessage.decode(line.payload());
             if (message.kind() == M3uaMessage.Kind.DATA) {
                 ProtocolData data = ProtocolData.from(message);
-                String server = calculatorByCode.get(data.dpc());
+                String server = calculatorByPointCode.get(data.dpc());
                 boolean toServer = server != null;
-                server = toServer ? server : calculatorByCode.get(data.opc());
+                server = toServer ? server : calculatorByPointCode.get(data.opc());
                 String front = "front-" + (toServer ? data.opc() : data.dpc());
                 if (server != null) {
                     onIsup(line.timeUs(), front, server, toServer, IsupMessage.decode(data.isup()));
--- a/src/main/java/damsonseam/audit/ColdStartCheck.java
+++ b/src/main/java/damsonseam/audit/ColdStartCheck.java
@@ -16,7 +16,7 @@
  */
 final class ColdStartCheck {
     private static final double US_PER_S = 1e6;
-    /** Updates carry the age of a start in whole milliseconds, and the age grows by the network delay of the update. */
+    /** An update gives the age of a start in whole milliseconds and is delayed by the network. */
     private static final long START_TOLERANCE_US = 500_000;
 
     /** Excess over the allowed count that is put down to chance, in standard deviations of a Poisson count. */
--- a/src/main/java/damsonseam/audit/WireLog.java
+++ b/src/main/java/damsonseam/audit/WireLog.java
@@ -80,9 +80,9 @@
         JsonFactory json = new JsonFactory();
         long lineNumber = 0;
         try (var reader = Files.newBufferedReader(file, StandardCharsets.US_ASCII)) {
-            for (String text = reader.readLine(); text != null; text = reader.readLine()) {
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 lineNumber++;
-                try (JsonParser parser = json.createParser(text)) {
+                try (JsonParser parser = json.createParser(line)) {
                     consumer.accept(parseLine(parser));
                 } catch (IOException | IllegalArgumentException e) {
                     throw new IOException(file + ":" + lineNumber + ": malformed wire log line: " + e.getMessage(), e);
--- a/src/main/java/damsonseam/bench/MemoryBench.java
+++ b/src/main/java/damsonseam/bench/MemoryBench.java
@@ -94,7 +94,7 @@
         return report;
     }
 
-    /** Returns the minimum used heap after several collections, as a single one may leave garbage. */
+    /** Returns the minimum of several samples of the used heap, each taken after a garbage collection. */
     private static long usedHeapBytes() throws InterruptedException {
         long minBytes = Long.MAX_VALUE;
         for (int i = 0; i < 4; i++) {
@@ -147,9 +147,9 @@
                                             int attempt,
                                             AttemptStatus result,
                                             RejectReason reason,
-                                            OptionalDouble toldWait,
+                                            OptionalDouble retryAfterMs,
                                             ServerLoadReport report) {
-                                        router.attemptEnded(now, call, attempt, result, reason, toldWait, report);
+                                        router.attemptEnded(now, call, attempt, result, reason, retryAfterMs, report);
                                     }
 
                                     @Override
@@ -161,6 +161,7 @@
             }
         }
 
+        /** Delivers the answers to all set-ups sent since the last call. */
         void answerAll(double now) {
             List<Runnable> due = new ArrayList<>(pendingAnswers);
             pendingAnswers.clear();
--- a/src/main/java/damsonseam/load/LoadResult.java
+++ b/src/main/java/damsonseam/load/LoadResult.java
@@ -124,12 +124,13 @@
     public int secondsWithPriorityInversion(double margin) {
         int inverted = 0;
         int seconds = outcomeCounts[0].length * SLICE_MS / 1_000;
-        for (int s = 0; s < seconds; s++) {
+        for (int second = 0; second < seconds; second++) {
             boolean found = false;
-            for (int a = 0; a < callerClasses.size(); a++) {
-                for (int b = 0; b < callerClasses.size(); b++) {
-                    found |= callerClasses.get(a).worth() > callerClasses.get(b).worth()
-                            && lostShare(a, s) > lostShare(b, s) + margin;
+            for (int high = 0; high < callerClasses.size(); high++) {
+                for (int low = 0; low < callerClasses.size(); low++) {
+                    found |= callerClasses.get(high).worth()
+                                    > callerClasses.get(low).worth()
+                            && lostShare(high, second) > lostShare(low, second) + margin;
                 }
             }
             inverted += found ? 1 : 0;
@@ -149,10 +150,10 @@
     public double recoveryTimeS(double fromS, double share) {
         int endS = outcomeCounts[0].length * SLICE_MS / 1_000;
         double recoveredAfterS = 0;
-        for (double s = fromS; s < endS; s += SLICE_MS / 1_000.0) {
-            long offered = offered(-1, s, s + SLICE_MS / 1_000.0);
-            if (offered > 0 && established(-1, s, s + SLICE_MS / 1_000.0) < share * offered) {
-                recoveredAfterS = s + SLICE_MS / 1_000.0 - fromS;
+        for (double sliceS = fromS; sliceS < endS; sliceS += SLICE_MS / 1_000.0) {
+            long offered = offered(-1, sliceS, sliceS + SLICE_MS / 1_000.0);
+            if (offered > 0 && established(-1, sliceS, sliceS + SLICE_MS / 1_000.0) < share * offered) {
+                recoveredAfterS = sliceS + SLICE_MS / 1_000.0 - fromS;
             }
         }
         return recoveredAfterS >= endS - fromS - 0.2 ? Double.NaN : Math.round(recoveredAfterS * 10) / 10.0;
