--- a/src/main/java/damsonseam/dns/Resolver.java
+++ b/src/main/java/damsonseam/dns/Resolver.java
@@ -47,7 +47,7 @@
         void sendTcp(int authority, byte[] query);
 
         /** Reports the result of a lookup to the call that requested it. */
-        void onLookupComplete(double now, long call, LookupResult result);
+        void onLookupComplete(double now, long callId, LookupResult result);
     }
 
     /** Socket index of responses that arrive over TCP. */
@@ -64,7 +64,7 @@
     public record Limits(int udpSockets, int maxQueries, int maxPendingLookups, double staleAfterMs) {}
 
     /** Counters for reports. */
-    public static final class Counts {
+    public static final class Counters {
         /** Calls answered from the cache with a fresh result. */
         public long cacheHits;
         /** Calls answered with a stale result. */
@@ -85,7 +85,7 @@
 
     private record Query(int id, int authority, int socket, Name name, double sentAt) {}
 
-    private record WaitingCall(long call, double deadline) {}
+    private record WaitingCall(long callId, double deadline) {}
 
     /** One lookup: its outstanding queries and the calls that wait for its result. */
     private static final class Lookup {
@@ -119,7 +119,7 @@
     /** Results known without a query, at most one per call of the current event-loop iteration. */
     private final ArrayDeque<Runnable> knownResults = new ArrayDeque<>();
 
-    private final Counts counts = new Counts();
+    private final Counters counters = new Counters();
     private double now;
 
     /** Creates a resolver for one zone. */
@@ -148,35 +148,35 @@
     // ---- Queries ----------------------------------------------------------------------------------------
 
     @Override
-    public void lookUp(long call, String number, double deadline) {
+    public void lookUp(long callId, String number, double deadline) {
         LookupCache.CachedResult cached = cache.find(number, now);
         if (cached != null && cached.isFresh()) {
-            counts.cacheHits++;
-            reportLater(call, cached.result());
+            counters.cacheHits++;
+            reportLater(callId, cached.result());
             return;
         }
         LookupResult stale = cached == null ? null : cached.result();
         if (cached != null && cached.failedRecently()) {
-            counts.staleResults += stale == null ? 0 : 1;
-            counts.failedLookups += stale == null ? 1 : 0;
-            reportLater(call, stale == null ? LookupResult.UNAVAILABLE : stale);
+            counters.staleResults += stale == null ? 0 : 1;
+            counters.failedLookups += stale == null ? 1 : 0;
+            reportLater(callId, stale == null ? LookupResult.UNAVAILABLE : stale);
             return;
         }
         Lookup lookup = lookups.get(number);
         if (lookup != null) {
-            counts.coalesced++;
-            addWaitingCall(lookup, call, deadline);
+            counters.coalesced++;
+            addWaitingCall(lookup, callId, deadline);
             return;
         }
         if (lookups.size() >= limits.maxPendingLookups()) {
-            counts.failedLookups++;
-            reportLater(call, stale == null ? LookupResult.UNAVAILABLE : stale);
+            counters.failedLookups++;
+            reportLater(callId, stale == null ? LookupResult.UNAVAILABLE : stale);
             return;
         }
         lookup = new Lookup(number, authorities.count());
         lookup.staleResult = stale;
         lookups.put(number, lookup);
-        addWaitingCall(lookup, call, deadline);
+        addWaitingCall(lookup, callId, deadline);
         if (stale != null) {
             Lookup pending = lookup;
             lookup.staleTimer = timers.schedule(now + limits.staleAfterMs(), at -> {
@@ -187,14 +187,14 @@
         sendNextQuery(lookup);
     }
 
-    private void addWaitingCall(Lookup lookup, long call, double deadline) {
-        lookup.waitingCalls.add(new WaitingCall(call, deadline));
+    private void addWaitingCall(Lookup lookup, long callId, double deadline) {
+        lookup.waitingCalls.add(new WaitingCall(callId, deadline));
         lookup.deadline = Math.max(lookup.deadline, deadline);
     }
 
     /** Queues a known result: it must not be reported within the call of {@code lookUp}, but in the same iteration. */
-    private void reportLater(long call, LookupResult result) {
-        knownResults.add(() -> output.onLookupComplete(now, call, result));
+    private void reportLater(long callId, LookupResult result) {
+        knownResults.add(() -> output.onLookupComplete(now, callId, result));
     }
 
     /** Reports the results known without a query; called once per event-loop iteration, before the core acts. */
@@ -223,7 +223,7 @@
         Query query = new Query(id, authority, socket, name, now);
         lookup.queries.add(query);
         lookupsByMessageId.computeIfAbsent(id, i -> new ArrayList<>(1)).add(lookup);
-        counts.queriesSent++;
+        counters.queriesSent++;
         byte[] encoded = encodeQuery(id, name);
         timers.cancel(lookup.queryTimer);
         double timeoutAt = now + authorities.timeoutMs(authority);
@@ -235,7 +235,7 @@
             sendNextQuery(lookup);
         });
         if (tcp) {
-            counts.tcpQueries++;
+            counters.tcpQueries++;
             output.sendTcp(authority, encoded);
         } else {
             output.sendUdp(authority, socket, encoded);
@@ -301,7 +301,7 @@
 
     /** Counts a mismatched response against the lookups with its message ID, as a defence against guessed responses. */
     private void recordMismatch(int id) {
-        counts.mismatchedResponses++;
+        counters.mismatchedResponses++;
         for (Lookup lookup : List.copyOf(lookupsByMessageId.getOrDefault(id, List.of()))) {
             if (++lookup.mismatches == MAX_MISMATCHES) {
                 sendNextQuery(lookup);
@@ -319,7 +319,7 @@
         if (rcode == Rcode.NXDOMAIN) {
             succeed(lookup, LookupResult.NOT_FOUND, negativeTtlS(message));
         } else if (rcode != Rcode.NOERROR || !message.getHeader().getFlag(Flags.AA)) {
-            counts.lameResponses++;
+            counters.lameResponses++;
             authorities.recordLame(query.authority(), now);
             sendNextQuery(lookup);
         } else {
@@ -353,25 +353,25 @@
     private void succeed(Lookup lookup, LookupResult result, long ttlS) {
         cache.put(lookup.number, result, ttlS, now);
         remove(lookup);
-        lookup.waitingCalls.forEach(w -> output.onLookupComplete(now, w.call(), result));
+        lookup.waitingCalls.forEach(w -> output.onLookupComplete(now, w.callId(), result));
     }
 
     private void fail(Lookup lookup) {
         cache.recordFailure(lookup.number, now);
         remove(lookup);
         boolean hasStaleResult = lookup.staleResult != null;
-        counts.staleResults += hasStaleResult ? lookup.waitingCalls.size() : 0;
-        counts.failedLookups += hasStaleResult ? 0 : lookup.waitingCalls.size();
-        lookup.waitingCalls.forEach(w ->
-                output.onLookupComplete(now, w.call(), hasStaleResult ? lookup.staleResult : LookupResult.UNAVAILABLE));
+        counters.staleResults += hasStaleResult ? lookup.waitingCalls.size() : 0;
+        counters.failedLookups += hasStaleResult ? 0 : lookup.waitingCalls.size();
+        lookup.waitingCalls.forEach(w -> output.onLookupComplete(
+                now, w.callId(), hasStaleResult ? lookup.staleResult : LookupResult.UNAVAILABLE));
     }
 
     /** Reports the stale result to the waiting calls; the lookup continues for the sake of later ones. */
     private void reportStale(Lookup lookup) {
-        counts.staleResults += lookup.waitingCalls.size();
+        counters.staleResults += lookup.waitingCalls.size();
         List<WaitingCall> waitingCalls = List.copyOf(lookup.waitingCalls);
         lookup.waitingCalls.clear();
-        waitingCalls.forEach(w -> output.onLookupComplete(now, w.call(), lookup.staleResult));
+        waitingCalls.forEach(w -> output.onLookupComplete(now, w.callId(), lookup.staleResult));
     }
 
     private void remove(Lookup lookup) {
@@ -395,8 +395,8 @@
     }
 
     /** Returns the counters, which run since the start. */
-    public Counts counts() {
-        return counts;
+    public Counters counters() {
+        return counters;
     }
 
     /** Returns the cache of results. */
--- a/src/main/java/damsonseam/node/ServerEndpoint.java
+++ b/src/main/java/damsonseam/node/ServerEndpoint.java
@@ -53,8 +53,8 @@
     /** Silence after which a server with established calls is probed. */
     private static final double PROBE_AFTER_MS = 2_000;
     /**
-     * Silence after which the calls established at a server count as cut: the platform requires the release of a call
-     * within 8 s, even if nobody reported its end.
+     * Silence after which the calls established at a server are released as failed: the platform requires the release
+     * of a call within 8 s of its end, even if the end was not reported.
      */
     private static final double DEAD_AFTER_MS = 5_000;
     /** How long a message may stay unfinished: longer than any TCP retransmission takes. */
@@ -85,10 +85,14 @@
     /** Whether another connection was lost while the present connection attempt was under way. */
     private boolean connectAgain;
 
-    private boolean connectAttempted;
+    private boolean connectAttemptCompleted;
+    /** Whether connections may be opened and set-ups sent; false once delisted, replaced or closed. */
     private boolean active = true;
+    /** Whether the server list names this server. */
     private boolean listed = true;
+    /** Whether another server has taken the address of this one. */
     private boolean replaced;
+
     private boolean backingOff;
     private double backoffMs = INITIAL_BACKOFF_MS;
     private double lastReceivedMs;
@@ -100,16 +104,16 @@
         final NodeCall nodeCall;
         final long recordId;
         final int index;
-        final double deadlineMs;
+        final double giveUpAtMs;
         ServerConnection connection;
         boolean sent;
         double sentAtMs;
 
-        Attempt(NodeCall nodeCall, long recordId, int index, double deadlineMs) {
+        Attempt(NodeCall nodeCall, long recordId, int index, double giveUpAtMs) {
             this.nodeCall = nodeCall;
             this.recordId = recordId;
             this.index = index;
-            this.deadlineMs = deadlineMs;
+            this.giveUpAtMs = giveUpAtMs;
         }
 
         String key() {
@@ -117,7 +121,7 @@
         }
     }
 
-    /** An OPTIONS request without a response yet; the module is notified of the outcome if it requested the probe. */
+    /** An OPTIONS request without a response yet; the policy is notified of the outcome if it requested the probe. */
     private record Probe(double sentAtMs, boolean requested, ServerConnection connection) {}
 
     ServerEndpoint(ServerEndpoints.EndpointContext context, Router router, ServerList.Server server) {
@@ -146,23 +150,25 @@
         return connections.size() + (connecting ? 1 : 0);
     }
 
-    int attemptCount() {
+    int outstandingAttempts() {
         return attempts.size();
     }
 
     /** Returns the number of attempts as counted by the connections, and those that wait for one. */
     int carriedAttempts() {
         return queuedAttempts.size()
-                + connections.stream().mapToInt(ServerConnection::outstanding).sum();
+                + connections.stream()
+                        .mapToInt(ServerConnection::outstandingAttempts)
+                        .sum();
     }
 
     Set<NodeCall> establishedCalls() {
         return establishedCalls;
     }
 
-    /** Returns whether the first connection attempt has succeeded or failed. */
-    boolean hasTriedToConnect() {
-        return connectAttempted;
+    /** Returns whether a first connection attempt has completed, successfully or not. */
+    boolean hasCompletedConnectAttempt() {
+        return connectAttemptCompleted;
     }
 
     double now() {
@@ -274,7 +280,7 @@
     /** Adds an established connection and sends what waited for one. */
     void onConnected(ServerConnection connection) {
         connecting = false;
-        connectAttempted = true;
+        connectAttemptCompleted = true;
         backoffMs = INITIAL_BACKOFF_MS;
         connections.add(connection);
         lastReceivedMs = Math.max(lastReceivedMs, now() - PROBE_AFTER_MS);
@@ -292,7 +298,7 @@
 
     private void onConnectFailed(Throwable cause) {
         connecting = false;
-        connectAttempted = true;
+        connectAttemptCompleted = true;
         failQueued();
         if (connections.isEmpty()) {
             if (cause instanceof ConnectException && !(cause instanceof io.netty.channel.ConnectTimeoutException)) {
@@ -308,10 +314,10 @@
     /** Removes a closed connection. Attempts sent on it are reset: the server may have handled them. */
     void onDisconnected(ServerConnection connection) {
         connections.remove(connection);
-        if (connection.outstanding() > 0) {
+        if (connection.outstandingAttempts() > 0) {
             LOG.atInfo()
                     .addKeyValue("server", server.id())
-                    .addKeyValue("out", connection.outstanding())
+                    .addKeyValue("out", connection.outstandingAttempts())
                     .addKeyValue("others", connections.size())
                     .log("server connection lost with outstanding attempts");
         }
@@ -363,7 +369,7 @@
         for (ServerConnection connection : connections) {
             if (connection.isUsable()
                     && (includeSuspect || !connection.isSuspect())
-                    && (best == null || connection.outstanding() < best.outstanding())) {
+                    && (best == null || connection.outstandingAttempts() < best.outstandingAttempts())) {
                 best = connection;
             }
         }
@@ -373,8 +379,8 @@
     // ---- Attempts ---------------------------------------------------------------------------------------
 
     /** Starts an attempt, which may wait for a connection first; returns false if it cannot be sent. */
-    boolean setUp(NodeCall nodeCall, long recordId, int index, double deadlineMs) {
-        Attempt attempt = new Attempt(nodeCall, recordId, index, deadlineMs);
+    boolean setUp(NodeCall nodeCall, long recordId, int index, double giveUpAtMs) {
+        Attempt attempt = new Attempt(nodeCall, recordId, index, giveUpAtMs);
         if (!active || !tryAssignConnection(attempt)) {
             return false;
         }
@@ -392,7 +398,7 @@
         if (connection == null) {
             return false;
         }
-        if (connection.outstanding() > 0) {
+        if (connection.outstandingAttempts() > 0) {
             connect();
         }
         assign(attempt, connection);
@@ -413,7 +419,7 @@
      */
     private void assign(Attempt attempt, ServerConnection connection) {
         attempt.connection = connection;
-        connection.adjustOutstanding(1);
+        connection.adjustOutstandingAttempts(1);
         context.loop().runAfterReads(() -> {
             if (attempts.get(attempt.key()) == attempt && attempt.connection == connection && !attempt.sent) {
                 sendInvite(attempt);
@@ -428,7 +434,7 @@
         SipMessage invite = SipMessage.request(
                         SipMessage.INVITE, call.requestUri, call.callId, attempt.index + 1, call.offer)
                 .addHeader("X-Cos", call.className)
-                .addHeader("X-Timer-Ms", Long.toString(Math.max(1, (long) (attempt.deadlineMs - now()))));
+                .addHeader("X-Timer-Ms", Long.toString(Math.max(1, (long) (attempt.giveUpAtMs - now()))));
         if (call.legs != null) {
             invite.addHeader("X-Legs", call.legs);
         }
@@ -443,7 +449,7 @@
         }
         long recordId = attempt.recordId;
         if (attempt.connection != null) {
-            attempt.connection.adjustOutstanding(-1);
+            attempt.connection.adjustOutstandingAttempts(-1);
         }
         if (!attempt.sent) {
             queuedAttempts.remove(attempt);
@@ -463,7 +469,7 @@
     private void endAttempt(Attempt attempt, AttemptStatus status, RejectReason reason, ServerLoadReport report) {
         attempts.remove(attempt.key());
         if (attempt.connection != null) {
-            attempt.connection.adjustOutstanding(-1);
+            attempt.connection.adjustOutstandingAttempts(-1);
         }
         router.attemptEnded(now(), attempt.recordId, attempt.index, status, reason, OptionalDouble.empty(), report);
         closeIfUnused();
@@ -476,7 +482,7 @@
         }
     }
 
-    /** Ends all attempts that have not been sent, since the server takes no new set-ups any more. */
+    /** Ends all attempts that have not been sent as unreachable, since the server accepts no new set-ups. */
     private void failUnsent() {
         failQueued();
         for (Attempt attempt : List.copyOf(attempts.values())) {
@@ -580,7 +586,7 @@
             return;
         }
         attempts.remove(key);
-        connection.adjustOutstanding(-1);
+        connection.adjustOutstandingAttempts(-1);
         NodeCall call = attempt.nodeCall;
         call.answer = message.body();
         call.answerContentType = message.headers().get("Content-Type");
@@ -589,7 +595,7 @@
         router.callEstablished(now, attempt.recordId, attempt.index, report);
         call.answeringServer = null;
         if (call.establishedServer == null) {
-            // The core took the answer for too late: nobody waits for this call any more.
+            // The core considered the response too late: no caller waits for this call any more.
             call.answer = null;
             sendBye(call.callId, call.requestUri);
         }
@@ -635,9 +641,9 @@
     }
 
     /**
-     * Handles the release of a call by its server. An attempt that broke may have been set up all the same, and its BYE
-     * has the same Call-ID as the call's next attempt at this server. The two are distinguished by their connection
-     * while the one of the established or outstanding attempt is open.
+     * Handles the release of a call by its server. An attempt whose connection broke may have been established anyway,
+     * and its BYE has the same Call-ID as the call's next attempt at this server. The two are distinguished by their
+     * connection while the one of the established or outstanding attempt is open.
      */
     private void onBye(ServerConnection connection, SipMessage message, ServerLoadReport report) {
         NodeCall call = context.callRegistry().get(String.valueOf(message.callId()));
@@ -680,7 +686,7 @@
 
     // ---- Probes -----------------------------------------------------------------------------------------
 
-    /** Sends a probe that the module requested. */
+    /** Sends a probe that the routing policy requested. */
     void probe() {
         sendProbe(true);
     }
@@ -727,7 +733,7 @@
     void sweep(double now) {
         for (ServerConnection connection : List.copyOf(connections)) {
             if (connection.isStuckMidMessage(now, STUCK_AFTER_MS)
-                    || connection.isSuspect() && connection.outstanding() == 0) {
+                    || connection.isSuspect() && connection.outstandingAttempts() == 0) {
                 connection.close();
             }
         }
--- a/src/main/java/damsonseam/node/ServerEndpoints.java
+++ b/src/main/java/damsonseam/node/ServerEndpoints.java
@@ -95,7 +95,7 @@
 
     int outstandingAttempts() {
         return endpoints.values().stream()
-                .mapToInt(ServerEndpoint::attemptCount)
+                .mapToInt(ServerEndpoint::outstandingAttempts)
                 .sum();
     }
 
@@ -148,10 +148,10 @@
 
     @Override
     public RouterPorts.SendFailure sendSetUp(
-            double now, String serverId, long recordId, int attemptIndex, double deadlineMs, CallRecord record) {
+            double now, String serverId, long recordId, int attemptIndex, double giveUpAt, CallRecord record) {
         ServerEndpoint endpoint = endpoints.get(serverId);
         NodeCall nodeCall = context.callRegistry().get(recordId);
-        return endpoint != null && nodeCall != null && endpoint.setUp(nodeCall, recordId, attemptIndex, deadlineMs)
+        return endpoint != null && nodeCall != null && endpoint.setUp(nodeCall, recordId, attemptIndex, giveUpAt)
                 ? null
                 : UNREACHABLE;
     }
@@ -185,7 +185,7 @@
         return router.serverList().servers().stream()
                 .filter(server -> server.state() == ServerState.RUNNING)
                 .allMatch(server -> endpoints.containsKey(server.id())
-                        && endpoints.get(server.id()).hasTriedToConnect());
+                        && endpoints.get(server.id()).hasCompletedConnectAttempt());
     }
 
     void close() {
--- a/src/test/java/damsonseam/dns/ResolverTest.java
+++ b/src/test/java/damsonseam/dns/ResolverTest.java
@@ -69,9 +69,9 @@
         }
     }
 
-    private void lookUp(long call) {
+    private void lookUp(long callId) {
         resolver.advanceClock(now);
-        resolver.lookUp(call, NUMBER, now + 2_000);
+        resolver.lookUp(callId, NUMBER, now + 2_000);
     }
 
     private Query lastQuery() {
@@ -186,7 +186,7 @@
                 "the case of the letters is random");
         respond(sent, lowerCase);
         assertTrue(results.isEmpty());
-        assertEquals(3, resolver.counts().mismatchedResponses);
+        assertEquals(3, resolver.counters().mismatchedResponses);
         respond(sent, genuine);
         assertEquals(1, results.size());
     }
