--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -20,7 +20,7 @@
  * @param enumSettings the ENUM interface towards callers, key {@code enum}
  * @param classes the call classes
  * @param numbers the number ranges and their call classes; the longest prefix wins
- * @param upstream the authoritative name servers for look-ups
+ * @param upstream the authoritative name servers for lookups
  * @param directory the pool directory
  * @param trunks the trunk groups towards the calculators
  * @param fleet the settings common to all fronts, including the limits of the five rules
@@ -146,12 +146,12 @@
     }
 
     /**
-     * The authoritative name servers for look-ups.
+     * The authoritative name servers for lookups.
      *
      * @param authorities the name servers of the zone
      * @param suffix the zone's domain, by default that of {@code enum}
      * @param sockets the number of UDP sockets, from which each query picks one at random
-     * @param tries the maximum number of queries sent for one look-up
+     * @param tries the maximum number of queries sent for one lookup
      * @param staleAfter the time without an answer after which a stale cache entry is used
      * @param staleFor how long cache entries are kept after they expire
      */
@@ -233,7 +233,7 @@
      * @param tipMultiple the load, as a multiple of its current capacity, that overloads a cold server until it fails
      * @param tipWindow the time for which that load must last
      * @param releaseGuard the time after a failed attempt during which the call is not sent again
-     * @param maxReturnAdvice the longest time for which callers may be asked to stay away
+     * @param maxReturnAdvice the longest time for which refused callers may be advised not to redial
      */
     public record Fleet(
             Integer fronts,
@@ -267,8 +267,8 @@
      *
      * @param calls the maximum number of open calls, including established ones
      * @param questions the maximum number of queries remembered to recognize retransmissions
-     * @param numbers the maximum number of numbers in the look-up cache
-     * @param lookups the maximum number of concurrent look-ups
+     * @param numbers the maximum number of numbers in the lookup cache
+     * @param lookups the maximum number of concurrent lookups
      * @param connections the maximum number of callers' TCP connections
      * @param drain how long a shutdown waits for open calls to be answered
      */
@@ -295,7 +295,7 @@
      * @param memoryOnset the share of the heap in use after collections from which caches are reduced and then calls
      *     refused
      * @param memoryCeiling the share of the heap in use from which calls of the highest worth are refused too
-     * @param tableOnset the share of the call table, look-ups and open files that is open to calls of any worth
+     * @param tableOnset the share of the call table, lookups and open files that is open to calls of any worth
      * @param forecast how far ahead memory use is extrapolated
      * @param fairMultiple the multiple of its fair share above which a sender's calls are refused first
      * @param queue the maximum number of calls of each worth that wait for the event loop
@@ -331,7 +331,7 @@
                 double tableOnset,
                 TimeSpan forecast,
                 double fairMultiple,
-                double longestAdvice) {
+                double maxRetryAfterMs) {
             return new OverloadSettings(
                     delayOnset.ms(),
                     delayCeiling.ms(),
@@ -340,7 +340,7 @@
                     tableOnset,
                     forecast.ms(),
                     fairMultiple,
-                    longestAdvice);
+                    maxRetryAfterMs);
         }
     }
 
--- a/src/main/java/damsonseam/core/CallRecord.java
+++ b/src/main/java/damsonseam/core/CallRecord.java
@@ -26,7 +26,7 @@
     private RouterPorts.Caller caller;
     private Phase phase = Phase.LOOKING_UP;
     private int attempts;
-    private String server;
+    private String serverId;
     private boolean attemptPending;
     private double sentAt;
     private AttemptStatus releaseStatus;
@@ -91,9 +91,9 @@
         return attempts;
     }
 
-    /** Returns the server of the last attempt, or null if there was none. */
-    public String server() {
-        return server;
+    /** Returns the id of the server of the last attempt, or null if there was none. */
+    public String serverId() {
+        return serverId;
     }
 
     /** Returns whether an attempt is pending, that is, unanswered or still being released. */
@@ -110,9 +110,9 @@
         transition(Phase.LOOKING_UP, Phase.TRYING);
     }
 
-    int startAttempt(String to, double now) {
+    int startAttempt(String toServerId, double now) {
         require(phase == Phase.TRYING && !attemptPending, "attempt started while another one is pending");
-        server = to;
+        serverId = toServerId;
         attemptPending = true;
         sentAt = now;
         return attempts++;
--- a/src/main/java/damsonseam/core/FinalAnswer.java
+++ b/src/main/java/damsonseam/core/FinalAnswer.java
@@ -4,11 +4,11 @@
  * The final answer to a call; each call gets exactly one.
  *
  * @param kind kind of answer
- * @param server server at which the call is established, otherwise empty
+ * @param serverId id of the server at which the call is established, otherwise empty
  * @param retryAfterMs time the caller is asked to wait before it redials, in milliseconds, 0 for no advice
  * @param reason short text for the log and the caller
  */
-public record FinalAnswer(Kind kind, String server, double retryAfterMs, String reason) {
+public record FinalAnswer(Kind kind, String serverId, double retryAfterMs, String reason) {
 
     /** The kinds of answer: established ({@code STANDS}), refused, failed, and failed with no point in a redial. */
     public enum Kind {
@@ -18,8 +18,8 @@
         UNKNOWN_NUMBER
     }
 
-    static FinalAnswer established(String server) {
-        return new FinalAnswer(Kind.STANDS, server, 0, "stands");
+    static FinalAnswer established(String serverId) {
+        return new FinalAnswer(Kind.STANDS, serverId, 0, "stands");
     }
 
     static FinalAnswer refused(double retryAfterMs, String reason) {
--- a/src/main/java/damsonseam/core/Router.java
+++ b/src/main/java/damsonseam/core/Router.java
@@ -260,7 +260,7 @@
                     now,
                     new AttemptOutcome(
                             call.id(),
-                            call.server(),
+                            call.serverId(),
                             call.attempts() - 1,
                             now - call.sentAt(),
                             status,
@@ -284,9 +284,9 @@
                 finishCall(call, new FinalAnswer(FinalAnswer.Kind.UNKNOWN_NUMBER, "", 0, "unknown number"));
             case UNAVAILABLE -> finishCall(call, FinalAnswer.failed("look-up failed"));
             default -> {
-                tracer.traceStep(now, call, "looked-up", String.join(" ", result.servers()));
-                List<Integer> serverIndexes = new ArrayList<>(result.servers().size());
-                result.servers().forEach(name -> serverIndexes.add(serverList.indexOf(name)));
+                tracer.traceStep(now, call, "looked-up", String.join(" ", result.serverIds()));
+                List<Integer> serverIndexes = new ArrayList<>(result.serverIds().size());
+                result.serverIds().forEach(name -> serverIndexes.add(serverList.indexOf(name)));
                 offerToPolicy(call, serverIndexes.get(0), serverIndexes);
             }
         }
@@ -347,11 +347,11 @@
         adjustUnanswered(call, -1);
         // The load report is carried in the answer, but the policy expects it as a report of the server.
         if (!report.equals(ServerLoadReport.NONE)) {
-            policy.onProbeResult(now, call.server(), false, true, 0, report);
+            policy.onProbeResult(now, call.serverId(), false, true, 0, report);
         }
-        policy.onCallEstablished(now, callId, call.server(), attempt, now - call.sentAt());
+        policy.onCallEstablished(now, callId, call.serverId(), attempt, now - call.sentAt());
         markBatchOpen();
-        deliverAnswer(call, call.takeCaller(), FinalAnswer.established(call.server()));
+        deliverAnswer(call, call.takeCaller(), FinalAnswer.established(call.serverId()));
     }
 
     /** Handles the end of an attempt or of the call it established, by the server or by loss of its connection. */
@@ -386,12 +386,12 @@
         if (!wasEstablished) {
             call.endAttempt();
         }
-        tracer.traceStep(now, call, "ended", call.server() + " " + status);
+        tracer.traceStep(now, call, "ended", call.serverId() + " " + status);
         policy.onAttemptOutcome(
                 now,
                 new AttemptOutcome(
                         call.id(),
-                        call.server(),
+                        call.serverId(),
                         attempt,
                         duration,
                         status,
@@ -414,7 +414,8 @@
      */
     private void giveUpAttempt(CallRecord call, int attempt, AttemptStatus status) {
         call.startRelease(status, now);
-        advanceClock(signalling.sendRelease(now, call.server(), call.id(), attempt, status == AttemptStatus.TIMED_OUT));
+        advanceClock(
+                signalling.sendRelease(now, call.serverId(), call.id(), attempt, status == AttemptStatus.TIMED_OUT));
         timers.cancel(call.replaceAttemptTimer(timers.schedule(now + settings.releaseTimeoutMs(), at -> {
             counters.unconfirmedReleases++;
             releaseConfirmed(at, call.id(), attempt);
@@ -442,7 +443,7 @@
     private void releaseAttempt(CallRecord call, boolean timedOut) {
         if (call.hasPendingAttempt()) {
             if (call.releaseStatus() == null) {
-                signalling.sendRelease(now, call.server(), call.id(), call.attempts() - 1, timedOut);
+                signalling.sendRelease(now, call.serverId(), call.id(), call.attempts() - 1, timedOut);
             }
             call.endAttempt();
         }
--- a/src/main/java/damsonseam/core/ServerList.java
+++ b/src/main/java/damsonseam/core/ServerList.java
@@ -109,7 +109,7 @@
         return new ArrayList<>(servers.values());
     }
 
-    /** Returns the index of the server with this name, or -1 if it is not listed. */
+    /** Returns the index of the server with this id, or -1 if it is not listed. */
     public int indexOf(String id) {
         Server server = servers.get(id);
         return server == null ? -1 : server.index();
--- a/src/main/java/damsonseam/dns/EnumResponses.java
+++ b/src/main/java/damsonseam/dns/EnumResponses.java
@@ -41,7 +41,7 @@
         return switch (answer.kind()) {
             case STANDS -> {
                 Message response = startResponse(query, Rcode.NOERROR);
-                String regexp = "!^.*$!sip:" + Long.toHexString(call) + "@" + answer.server() + "!";
+                String regexp = "!^.*$!sip:" + Long.toHexString(call) + "@" + answer.serverId() + "!";
                 response.addRecord(
                         new NAPTRRecord(queryName, DClass.IN, NAPTR_TTL_S, 100, 10, "u", "E2U+sip", regexp, Name.root),
                         Section.ANSWER);
--- a/src/main/java/damsonseam/dns/FastPathResponse.java
+++ b/src/main/java/damsonseam/dns/FastPathResponse.java
@@ -28,7 +28,7 @@
     /** Encodes the final answer of a call; returns null if only {@link EnumResponses} can encode it. */
     static byte[] encode(FastPathQuery query, long call, FinalAnswer answer, int maxBytes) {
         return switch (answer.kind()) {
-            case STANDS -> encodeEstablished(query, Long.toHexString(call), answer.server(), maxBytes);
+            case STANDS -> encodeEstablished(query, Long.toHexString(call), answer.serverId(), maxBytes);
             case REFUSED -> encodeRefused(query, Math.round(answer.retryAfterMs()), answer.reason(), maxBytes);
             case FAILED -> encodeFailed(query, answer.reason(), maxBytes);
             default -> null;
--- a/src/main/java/damsonseam/front/DirectoryClient.java
+++ b/src/main/java/damsonseam/front/DirectoryClient.java
@@ -107,9 +107,9 @@
             return;
         }
         double now = loop.now();
-        boolean gap;
+        boolean versionGap;
         try {
-            gap = router.serverListUpdated(now, update.getVersion(), update.getFull(), servers(update, now));
+            versionGap = router.serverListUpdated(now, update.getVersion(), update.getFull(), servers(update, now));
         } catch (IllegalArgumentException entry) {
             LOG.atWarn()
                     .addKeyValue("version", update.getVersion())
@@ -122,8 +122,8 @@
                 .addKeyValue("full", update.getFull())
                 .addKeyValue("entries", update.getEntriesCount())
                 .log("directory update");
-        trunks.onServerListUpdate(router.serverList());
-        if (gap) {
+        trunks.applyServerList(router.serverList());
+        if (versionGap) {
             requestServerList();
         }
         loop.scheduleBatchEnd();
--- a/src/main/java/damsonseam/front/DnsListener.java
+++ b/src/main/java/damsonseam/front/DnsListener.java
@@ -30,7 +30,7 @@
     private final Router router;
     private final EnumService.AdmissionControl streamAdmissionControl;
     private final QueryQueue queue;
-    private final FrontLoadState load;
+    private final FrontLoadState frontLoad;
     private final DatagramIntake intake;
     private final StreamListener streams;
     private double lastDrainAt;
@@ -50,11 +50,11 @@
         this.router = router;
         WorthRanks ranks = settings.ranks();
         queue = new QueryQueue(ranks.count(), settings.overload().queue());
-        load = new FrontLoadState(queue, ranks.count(), FrontSettings.TICK_MS);
-        intake = new DatagramIntake(loop, settings, suffix, plan, admission.get(), load, queue, this::drain);
+        frontLoad = new FrontLoadState(queue, ranks.count(), FrontSettings.TICK_MS);
+        intake = new DatagramIntake(loop, settings, suffix, plan, admission.get(), frontLoad, queue, this::drain);
         AdmissionController streamAdmission = admission.get();
         streamAdmissionControl = (now, callClass, source) ->
-                streamAdmission.decide(now, ranks.rankOfClass(callClass), senderHash(source), load);
+                streamAdmission.decide(now, ranks.rankOfClass(callClass), senderHash(source), frontLoad);
         streams = new StreamListener(
                 loop, service, router, streamAdmissionControl, settings.limits().connections());
     }
@@ -88,8 +88,8 @@
         return intake.address();
     }
 
-    FrontLoadState load() {
-        return load;
+    FrontLoadState frontLoad() {
+        return frontLoad;
     }
 
     DatagramIntake intake() {
@@ -104,9 +104,9 @@
     private void drain() {
         double now = loop.now();
         router.fireOverdueTimers(now);
-        load.recordIteration(now);
+        frontLoad.recordIteration(now);
         if (backlog && takenInDrain == MAX_QUERIES_PER_ITERATION) {
-            load.recordBatch(now - lastDrainAt, takenInDrain);
+            frontLoad.recordBatch(now - lastDrainAt, takenInDrain);
         }
         lastDrainAt = now;
         takenInDrain = 0;
--- a/src/main/java/damsonseam/front/FrontReport.java
+++ b/src/main/java/damsonseam/front/FrontReport.java
@@ -26,7 +26,7 @@
  * @param loopOctetsPerCall bytes allocated by the event loop's thread per call taken
  * @param collectorMs time spent in garbage collections, in milliseconds
  * @param heap share of the maximum heap in use after the last collection
- * @param cacheRoom share of its capacity that the look-up cache may fill
+ * @param cacheRoom share of its capacity that the lookup cache may fill
  * @param seconds number of seconds diagnosed with each cause
  * @param longestMomentMs longest time the routing policy took for a batch of simultaneous events, in milliseconds
  * @param open calls open now
--- a/src/main/java/damsonseam/front/FrontServer.java
+++ b/src/main/java/damsonseam/front/FrontServer.java
@@ -147,7 +147,7 @@
                 plan,
                 new FastPathQuery.WireSuffix(suffix),
                 components.admission());
-        selfMonitor = new SelfMonitor(settings, router, resolver, cache, dnsListener.load());
+        selfMonitor = new SelfMonitor(settings, router, resolver, cache, dnsListener.frontLoad());
     }
 
     /** Starts a regular front. Returns when its DNS port is open. */
@@ -238,8 +238,8 @@
         return callOnLoop(() -> {
             Counters counters = router.counters();
             DatagramIntake.Counters intake = dnsListener.intake().counters();
-            LoopDelayGauge loopGauge = selfMonitor.loopGauge();
-            LoopDelayGauge intakeGauge = dnsListener.intake().loopDelayGauge();
+            LoopDelayGauge loopDelayGauge = selfMonitor.loopDelayGauge();
+            LoopDelayGauge intakeDelayGauge = dnsListener.intake().loopDelayGauge();
             JvmMonitor.Sample sample = selfMonitor.latestSample();
             return new FrontReport(
                     counters.received,
@@ -253,12 +253,12 @@
                     intake.queueFull,
                     intake.offered,
                     intake.refused,
-                    loopGauge.percentileMs(50),
-                    loopGauge.percentileMs(99),
-                    loopGauge.maxDelayMs(),
-                    intakeGauge.percentileMs(99),
-                    intakeGauge.maxDelayMs(),
-                    dnsListener.load().costPerCallMs() * 1_000,
+                    loopDelayGauge.percentileMs(50),
+                    loopDelayGauge.percentileMs(99),
+                    loopDelayGauge.maxDelayMs(),
+                    intakeDelayGauge.percentileMs(99),
+                    intakeDelayGauge.maxDelayMs(),
+                    dnsListener.frontLoad().costPerCallMs() * 1_000,
                     sample.loopAllocatedBytes() / Math.max(1, counters.received),
                     sample.collectorMs(),
                     sample.heapShare(),
--- a/src/main/java/damsonseam/front/QueryQueue.java
+++ b/src/main/java/damsonseam/front/QueryQueue.java
@@ -19,7 +19,7 @@
      *
      * @param sender the caller's address
      * @param fastPathQuery the query as parsed by the fast path, or null if {@code message} needs a full decode
-     * @param entry the number plan's entry of the number asked for, or null with a null {@code plain}
+     * @param entry the number plan's entry of the queried number, or null if {@code fastPathQuery} is null
      * @param message the DNS message
      * @param readAtMs time of the read from the socket, in milliseconds of the front's clock
      * @param socketAgeMs upper bound of the time spent in the socket's buffer before, in milliseconds
--- a/src/main/java/damsonseam/front/SelfMonitor.java
+++ b/src/main/java/damsonseam/front/SelfMonitor.java
@@ -35,9 +35,9 @@
     private final Router router;
     private final Resolver resolver;
     private final LookupCache cache;
-    private final FrontLoadState load;
+    private final FrontLoadState frontLoad;
     private final JvmMonitor jvmMonitor = new JvmMonitor();
-    private final LoopDelayGauge loopGauge = new LoopDelayGauge(FrontSettings.TICK_MS);
+    private final LoopDelayGauge loopDelayGauge = new LoopDelayGauge(FrontSettings.TICK_MS);
     private final MemoryMonitor memoryMonitor;
     private final TablePressure tablePressure;
     private final HeldCallLimit heldCallLimit;
@@ -61,7 +61,7 @@
         this.router = router;
         this.resolver = resolver;
         this.cache = cache;
-        this.load = load;
+        this.frontLoad = load;
         frontName = settings.front().name();
         overloadSettings = settings.overloadSettings();
         ranks = settings.ranks();
@@ -77,8 +77,8 @@
 
     /** Called at each tick of the event loop. */
     void onTick(double now) {
-        loopGauge.recordTick(now);
-        load.recordIteration(now);
+        loopDelayGauge.recordTick(now);
+        frontLoad.recordIteration(now);
         if (now < nextSampleAt) {
             return;
         }
@@ -89,7 +89,7 @@
             memoryMonitor.recordCollection(now, sample.heapShare());
         }
         long received = router.counters().received;
-        load.recordCpuSample(sample.loopCpuMs() - previousLoopCpuMs, (int) (received - previousReceived));
+        frontLoad.recordCpuSample(sample.loopCpuMs() - previousLoopCpuMs, (int) (received - previousReceived));
         previousLoopCpuMs = sample.loopCpuMs();
         previousReceived = received;
         cacheShare = memoryMonitor.cacheShare(now);
@@ -113,7 +113,7 @@
         long setUps = counters.setUps - previousSetUps;
         long timedOut = counters.timedOut - previousTimedOut;
         DelayDiagnosis.Window window = new DelayDiagnosis.Window(
-                loopGauge.takeMaxDelayMs(),
+                loopDelayGauge.takeMaxDelayMs(),
                 sample.loopCpuMs() - previousSample.loopCpuMs(),
                 sample.collectorMs() - previousSample.collectorMs(),
                 setUps == 0 ? 0 : timedOut / (double) setUps);
@@ -129,7 +129,7 @@
                     .addKeyValue("momentMs", Math.round(longestBatchInWindowMs))
                     .addKeyValue("heap", sample.heapShare())
                     .addKeyValue("cpu", sample.cpuShare())
-                    .addKeyValue("perCallUs", Math.round(load.costPerCallMs() * 1_000))
+                    .addKeyValue("perCallUs", Math.round(frontLoad.costPerCallMs() * 1_000))
                     .log("front state");
             lastCause = cause;
         }
@@ -140,7 +140,7 @@
         nextDiagnosisAt = now + DIAGNOSIS_INTERVAL_MS;
     }
 
-    /** Records that the routing policy took {@code ms} milliseconds for a batch of simultaneous events. */
+    /** Records that the routing policy took {@code durationMs} for a batch of simultaneous events. */
     void recordBatch(double now, double durationMs) {
         heldCallLimit.recordBatch(now, durationMs, router.unansweredCalls());
         // The policy serves high-worth calls first, so a call only waits for held calls of its own rank and above.
@@ -154,7 +154,7 @@
             pressure[rank] =
                     Math.max(resourcePressure, heldCallLimit.pressure((int) unansweredFromRank, ranks.count()));
         }
-        load.updatePressure(pressure);
+        frontLoad.updatePressure(pressure);
         longestBatchMs = Math.max(longestBatchMs, durationMs);
         longestBatchInWindowMs = Math.max(longestBatchInWindowMs, durationMs);
     }
@@ -165,12 +165,12 @@
 
     /** Discards the delays measured so far. */
     void resetDelays() {
-        loopGauge.reset();
+        loopDelayGauge.reset();
         longestBatchMs = 0;
     }
 
-    LoopDelayGauge loopGauge() {
-        return loopGauge;
+    LoopDelayGauge loopDelayGauge() {
+        return loopDelayGauge;
     }
 
     JvmMonitor.Sample latestSample() {
--- a/src/main/java/damsonseam/front/TrunkLink.java
+++ b/src/main/java/damsonseam/front/TrunkLink.java
@@ -38,9 +38,9 @@
  */
 final class TrunkLink {
     private static final Logger LOG = LoggerFactory.getLogger(TrunkLink.class);
-    private static final double INITIAL_RECONNECT_DELAY_MS = 50;
-    private static final double MAX_RECONNECT_DELAY_MS = 2_000;
-    /** Unsent bytes from which the peer is assumed not to read; no set-up is sent to it then. */
+    private static final double INITIAL_BACKOFF_MS = 50;
+    private static final double MAX_BACKOFF_MS = 2_000;
+    /** Bytes waiting to be sent beyond which the server is considered not to read; no set-up is sent to it then. */
     private static final int MAX_UNSENT_BYTES = 1 << 20;
 
     private final CoreLoop loop;
@@ -51,8 +51,8 @@
     private final TrunkGroup group;
     private Channel channel;
     private boolean listed = true;
-    private double reconnectDelayMs = INITIAL_RECONNECT_DELAY_MS;
-    private long badMessages;
+    private double backoffMs = INITIAL_BACKOFF_MS;
+    private long malformedMessages;
     private boolean flushPending;
     private boolean closedLocally;
 
@@ -81,7 +81,7 @@
         connect();
     }
 
-    /** Called when the server list contains this server, possibly at a new address. */
+    /** Handles that the server list contains this server, possibly at a new address. */
     void onListed(ServerList.Server listedServer) {
         boolean addressChanged = !listedServer.address().equals(server.address());
         server = listedServer;
@@ -91,8 +91,8 @@
         }
     }
 
-    /** Called when the server has left the list: its calls continue, but a lost connection is not re-established. */
-    void onUnlisted() {
+    /** Handles that the list no longer names this server: its calls continue, but a lost connection is not reopened. */
+    void onDelisted() {
         listed = false;
         closeIfIdle();
     }
@@ -115,7 +115,7 @@
     }
 
     /** Returns whether the server has left the list and the connection is closed. */
-    boolean isDisposable() {
+    boolean isObsolete() {
         return !listed && channel == null;
     }
 
@@ -181,9 +181,9 @@
         if (!listed) {
             return;
         }
-        // All fronts lose a server at the same time: jitter of half the delay spreads their reconnects.
-        double delayMs = reconnectDelayMs * (0.5 + 0.5 * Math.random());
-        reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, 2 * reconnectDelayMs);
+        // All fronts lose a server at the same time: a delay of half to all of the backoff spreads them.
+        double delayMs = backoffMs * (0.5 + 0.5 * Math.random());
+        backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
         loop.timers().schedule(loop.now() + delayMs, now -> {
             if (listed && channel == null) {
                 connect();
@@ -198,10 +198,10 @@
                     && data.dpc() == settings.front().pointCode()) {
                 group.onMessage(now, IsupMessage.decode(data.isup()));
             } else {
-                badMessages++;
+                malformedMessages++;
             }
         } catch (SignallingProtocolException e) {
-            badMessages++;
+            malformedMessages++;
             if (data.isup().length >= 2) {
                 group.onMalformedMessage((data.isup()[0] & 0xff) | (data.isup()[1] & 0x0f) << 8, e.code());
             }
@@ -232,7 +232,7 @@
             LOG.atWarn()
                     .addKeyValue("server", server.id())
                     .addKeyValue("why", reason)
-                    .addKeyValue("badMessages", badMessages)
+                    .addKeyValue("badMessages", malformedMessages)
                     .addKeyValue("confused", group.unexpectedMessages())
                     .log("signalling connection closed");
             closeLocally();
@@ -240,7 +240,7 @@
 
         @Override
         public void onActive() {
-            reconnectDelayMs = INITIAL_RECONNECT_DELAY_MS;
+            backoffMs = INITIAL_BACKOFF_MS;
             group.onConnectionUp(loop.now());
             LOG.atInfo().addKeyValue("server", server.id()).log("signalling connection active");
         }
@@ -316,7 +316,7 @@
                 session.onMessage(loop.now(), M3uaMessage.decode(message));
             } catch (SignallingProtocolException e) {
                 // Answered with an ERR message and skipped; the framing is still in step (RFC 4666 4.8).
-                badMessages++;
+                malformedMessages++;
                 ctx.writeAndFlush(Unpooled.wrappedBuffer(
                         M3uaMessage.error(e.code(), message).encode()));
             }
--- a/src/main/java/damsonseam/front/TrunkLinks.java
+++ b/src/main/java/damsonseam/front/TrunkLinks.java
@@ -44,9 +44,9 @@
     }
 
     /** Applies a server-list update: new servers get a link, removed ones lose theirs once their calls are released. */
-    void onServerListUpdate(ServerList pool) {
+    void applyServerList(ServerList serverList) {
         Set<String> listed = new HashSet<>();
-        for (ServerList.Server server : pool.servers()) {
+        for (ServerList.Server server : serverList.servers()) {
             listed.add(server.id());
             TrunkLink link = links.get(server.id());
             if (link == null) {
@@ -57,10 +57,10 @@
         }
         links.forEach((id, link) -> {
             if (!listed.contains(id)) {
-                link.onUnlisted();
+                link.onDelisted();
             }
         });
-        links.values().removeIf(TrunkLink::isDisposable);
+        links.values().removeIf(TrunkLink::isObsolete);
     }
 
     @Override
--- a/src/main/java/damsonseam/node/CoordinatorClient.java
+++ b/src/main/java/damsonseam/node/CoordinatorClient.java
@@ -25,8 +25,8 @@
 
 /**
  * Subscribes to the coordinator, which sends numbered server-list updates in binary frames. If the connection breaks,
- * brings no frame within {@link #SILENCE_TIMEOUT_MS} or shows a gap in the numbers, the client connects again and asks
- * for the updates after the last one that it has. There is one connection at a time, and each one that ends is followed
+ * brings no frame within {@link #SILENCE_TIMEOUT_MS} or shows a gap in the numbers, the client reconnects and requests
+ * the updates after the last one that it has. There is one connection at a time, and each one that ends is followed
  * by one backoff, whoever requests an update: a fleet that lost its coordinator must not flood it when it returns.
  * Used on the event loop only.
  */
@@ -85,7 +85,7 @@
         requestServerList();
     }
 
-    /** Reconnects after the backoff and asks for the updates after the last one; does nothing while not connected. */
+    /** Reconnects after the backoff and requests the updates after the last one; does nothing while not connected. */
     @Override
     public void requestServerList() {
         if (channel != null) {
@@ -196,7 +196,7 @@
             return true;
         }
         double now = loop.now();
-        boolean gap = router.serverListUpdated(
+        boolean versionGap = router.serverListUpdated(
                 now, update.number(), update.full(), update.toServers(now, System.currentTimeMillis()));
         serverEndpoints.applyServerList(router.serverList());
         LOG.atInfo()
@@ -204,7 +204,7 @@
                 .addKeyValue("full", update.full())
                 .addKeyValue("entries", update.entries().toString())
                 .log("server list updated");
-        return !gap;
+        return !versionGap;
     }
 
     /** Parses a frame behind its length and number; returns null if it holds no update. */
--- a/src/test/java/damsonseam/dns/ResolverTest.java
+++ b/src/test/java/damsonseam/dns/ResolverTest.java
@@ -46,7 +46,7 @@
 
                 @Override
                 public void onLookupComplete(double now, long call, LookupResult result) {
-                    results.add(call + " " + result.outcome() + " " + result.servers());
+                    results.add(call + " " + result.outcome() + " " + result.serverIds());
                 }
             });
     private double now;
