--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -127,7 +127,7 @@
      *
      * @param prefix the leading digits of the numbers; empty for all numbers without another match
      * @param callClass the name of the call class, key {@code class}
-     * @param patience how long a caller waits for the answer to one try
+     * @param patience how long a caller waits for the answer to one call
      */
     public record NumberRange(
             String prefix,
@@ -195,7 +195,7 @@
      * @param t5 the time after which a circuit that is still not released is reset
      * @param t17 the time after which an unanswered reset is repeated
      * @param connectTimeout the time in which a connection must be established
-     * @param releaseWait how long the release complete of an abandoned attempt is awaited before the guard
+     * @param releaseWait how long the RLC of a released attempt is awaited before the guard
      *     {@code fleet.releaseGuard} starts without it; the maximum network delay of a message to a calculator
      */
     public record Trunks(
--- a/src/main/java/damsonseam/front/DatagramIntake.java
+++ b/src/main/java/damsonseam/front/DatagramIntake.java
@@ -71,7 +71,7 @@
     private final FrontLoadState frontLoad;
     private final QueryQueue queue;
     private final DecisionCache recentDecisions;
-    private final double returnPathMs;
+    private final double returnDelayMs;
     private final long queueFullRetryAfterMs;
     private final Runnable drainTask;
     private final AtomicBoolean drainScheduled = new AtomicBoolean();
@@ -113,25 +113,25 @@
     /**
      * Creates an intake that is not bound yet.
      *
-     * @param drain task to run on the event loop when the queue has become non-empty
+     * @param drainTask task to run on the event loop when the queue has become non-empty
      */
     DatagramIntake(
             CoreLoop loop,
             FrontSettings settings,
             FastPathQuery.WireSuffix suffix,
-            NumberPlan plan,
+            NumberPlan numberPlan,
             AdmissionController admission,
-            FrontLoadState load,
+            FrontLoadState frontLoad,
             QueryQueue queue,
-            Runnable drain) {
+            Runnable drainTask) {
         this.loop = loop;
         this.suffix = suffix;
-        this.numberPlan = plan;
+        this.numberPlan = numberPlan;
         this.ranks = settings.ranks();
         this.admission = admission;
-        this.frontLoad = load;
+        this.frontLoad = frontLoad;
         this.queue = queue;
-        this.returnPathMs = settings.enumSettings().wayBack().ms();
+        this.returnDelayMs = settings.enumSettings().wayBack().ms();
         double maxPatienceMs = settings.numbers().stream()
                 .mapToDouble(n -> n.patience().ms())
                 .max()
@@ -141,7 +141,7 @@
                 settings.limits().questions());
         counters = new Counters(ranks.count());
         queueFullRetryAfterMs = Math.round(settings.fleet().maxReturnAdvice().ms());
-        this.drainTask = drain;
+        this.drainTask = drainTask;
         byte[] nonce = new byte[NONCE_BYTES];
         new SecureRandom().nextBytes(nonce);
         queueAge = new QueueAgeEstimator(nonce, FrontSettings.TICK_MS);
@@ -305,7 +305,7 @@
         double patienceMs = fastPathQuery.callOption().timeMs() > 0
                 ? Math.min(fastPathQuery.callOption().timeMs(), entry.patience())
                 : entry.patience();
-        if (queued.socketAgeMs() > patienceMs - returnPathMs - FrontSettings.ANSWER_SLACK_MS) {
+        if (queued.socketAgeMs() > patienceMs - returnDelayMs - FrontSettings.ANSWER_SLACK_MS) {
             // The caller has given up or will have before an answer can arrive: fail at once, without a set-up.
             counters.expired++;
             recentDecisions.put(fingerprint, EXPIRED, now);
--- a/src/main/java/damsonseam/front/SelfMonitor.java
+++ b/src/main/java/damsonseam/front/SelfMonitor.java
@@ -56,12 +56,12 @@
     private double previousLoopCpuMs;
     private long previousReceived;
 
-    SelfMonitor(FrontSettings settings, Router router, Resolver resolver, LookupCache cache, FrontLoadState load) {
+    SelfMonitor(FrontSettings settings, Router router, Resolver resolver, LookupCache cache, FrontLoadState frontLoad) {
         this.settings = settings;
         this.router = router;
         this.resolver = resolver;
         this.cache = cache;
-        this.frontLoad = load;
+        this.frontLoad = frontLoad;
         frontName = settings.front().name();
         overloadSettings = settings.overloadSettings();
         ranks = settings.ranks();
--- a/src/test/java/damsonseam/sim/SimulatedFront.java
+++ b/src/test/java/damsonseam/sim/SimulatedFront.java
@@ -156,8 +156,8 @@
                     }
 
                     @Override
-                    public void onLookupComplete(double at, long call, LookupResult candidates) {
-                        router.lookupCompleted(at, call, candidates);
+                    public void onLookupComplete(double at, long callId, LookupResult result) {
+                        router.lookupCompleted(at, callId, result);
                     }
                 });
         service = new EnumService(SUFFIX, settings.numberPlan(), router, new TransactionTable(200_000, 3_000), 50);
@@ -206,25 +206,25 @@
                     }
 
                     @Override
-                    public void onAnswered(double at, long call, int attempt, ServerLoadReport report) {
-                        router.callEstablished(at, call, attempt, report);
+                    public void onAnswered(double at, long callId, int attempt, ServerLoadReport report) {
+                        router.callEstablished(at, callId, attempt, report);
                     }
 
                     @Override
                     public void onAttemptEnded(
                             double at,
-                            long call,
+                            long callId,
                             int attempt,
-                            AttemptStatus result,
+                            AttemptStatus status,
                             RejectReason reason,
                             OptionalDouble retryAfterMs,
                             ServerLoadReport report) {
-                        router.attemptEnded(at, call, attempt, result, reason, retryAfterMs, report);
+                        router.attemptEnded(at, callId, attempt, status, reason, retryAfterMs, report);
                     }
 
                     @Override
-                    public void onReleaseComplete(double at, long call, int attempt) {
-                        router.releaseConfirmed(at, call, attempt);
+                    public void onReleaseComplete(double at, long callId, int attempt) {
+                        router.releaseConfirmed(at, callId, attempt);
                     }
                 });
         group.onConnectionUp(now);
