--- a/src/main/java/damsonseam/config/FrontSettings.java
+++ b/src/main/java/damsonseam/config/FrontSettings.java
@@ -263,7 +263,7 @@
     }
 
     /**
-     * Bounds of tables and queues. docs/OPERATORS.md describes what happens at each of them.
+     * Bounds of tables and queues. The table "Bounds" in docs/ARCHITECTURE.md describes what happens at each of them.
      *
      * @param calls the maximum number of open calls, including established ones
      * @param questions the maximum number of queries remembered to recognize retransmissions
